--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -72,7 +72,7 @@
     /// Which failure domains are cordoned; `None` before its first reading, and where nothing has
     /// changed since the receiver was told.
     #[serde(default)]
-    pub(crate) cordons: Option<cordon::Word>,
+    pub(crate) cordons: Option<cordon::Update>,
     /// Whether its latest call of the registry succeeded.
     pub(crate) registry: bool,
     /// Whether it hears of targets from the registry just now.
@@ -91,9 +91,9 @@
     /// May a request that is held back be tried? With what the sender knows of it.
     Trial(poison::Record),
     /// May a request be sent to a target that names a limit? With what the sender knows of it.
-    Send(intake::Word),
+    Send(intake::Update),
     /// May a request be sent to a target that is cold? With what the sender knows of it.
-    Cold(cold::Word),
+    Cold(cold::Update),
 }
 
 impl Question {
@@ -148,11 +148,11 @@
     /// Requests under which targets ended, as far as that is news.
     Poison(Vec<poison::Record>),
     /// Limits that targets named, as far as that is news.
-    Limits(Vec<intake::Word>),
+    Limits(Vec<intake::Update>),
     /// A request was sent to a target that names a limit without asking for leave.
-    Spent(intake::Word),
+    Spent(intake::Update),
     /// A request was sent to a target that is cold without asking for leave.
-    SpentCold(cold::Word),
+    SpentCold(cold::Update),
     /// Something that the receiver decides for all entries.
     Ask {
         /// The sender's number for the question.
--- a/crates/gateway/src/process/fleet/intake.rs
+++ b/crates/gateway/src/process/fleet/intake.rs
@@ -1,7 +1,7 @@
 //! What entries tell each other of the limits that targets name.
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::intake::Word;
+use fireflyhoist_policy::intake::Update;
 
 use crate::connection::frame::{Frame, Question};
 use crate::process::fleet::Fleet;
@@ -16,7 +16,7 @@
     }
 
     /// Takes in what another entry tells, and hands it on to those that it does not tell itself.
-    pub(super) fn take_limits(&self, from: &id::Host, words: Vec<Word>) {
+    pub(super) fn take_limits(&self, from: &id::Host, words: Vec<Update>) {
         let news = self.process.hear_limits(words);
         if !news.is_empty() && self.is_active() {
             let leaf = !self.view().actives.contains(from);
@@ -32,7 +32,7 @@
         }
     }
 
-    fn tell_limits_to(&self, news: Vec<Word>, actives_too: bool) {
+    fn tell_limits_to(&self, news: Vec<Update>, actives_too: bool) {
         let (actives, mut told) = self.parted();
         if actives_too {
             told.extend(actives);
--- a/crates/gateway/src/process/state/cordon.rs
+++ b/crates/gateway/src/process/state/cordon.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use fireflyhoist_policy::cordon::{Change, Cordons, Word};
+use fireflyhoist_policy::cordon::{Change, Cordons, Update};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::Target;
 use fireflyhoist_policy::position::Position;
@@ -38,7 +38,7 @@
     }
 
     /// Takes in what another entry tells.
-    pub(crate) fn hear_cordons(&self, word: Word) -> bool {
+    pub(crate) fn hear_cordons(&self, word: Update) -> bool {
         let now = self.clock.now();
         self.update_cordons("peer", |cordons| cordons.hear(now, word))
     }
@@ -50,12 +50,12 @@
     }
 
     /// What an entry is told when its link opens.
-    pub(crate) fn cordon_word(&self) -> Option<Word> {
+    pub(crate) fn cordon_word(&self) -> Option<Update> {
         self.cordons.lock().word(self.clock.now())
     }
 
     /// What others are told in each heartbeat; see [`Cordons::news`].
-    pub(crate) fn cordon_news(&self) -> Option<Word> {
+    pub(crate) fn cordon_news(&self) -> Option<Update> {
         self.cordons.lock().news(self.clock.now())
     }
 
--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -4,7 +4,7 @@
 
 use fireflyhoist_policy::cold;
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::intake::{Said, Word};
+use fireflyhoist_policy::intake::{Said, Update};
 use fireflyhoist_policy::keeper::Allowance;
 use fireflyhoist_policy::lease::{Leases, Target};
 use fireflyhoist_policy::time::Time;
@@ -78,7 +78,7 @@
     }
 
     /// Takes in that a target is cold.
-    pub(crate) fn hear_cold(&self, word: &cold::Word) {
+    pub(crate) fn hear_cold(&self, word: &cold::Update) {
         self.leases.lock().note_cold(self.clock.now(), word);
     }
 
@@ -103,24 +103,28 @@
         if cold.is_some() {
             let start = self.leases.lock().get(target)?.start;
             let left = millis(self.cold_left(target));
-            return Some(Question::Cold(cold::Word { target: target.clone(), start, left }));
+            return Some(Question::Cold(cold::Update {
+                target: target.clone(),
+                start,
+                remaining_ms: left,
+            }));
         }
         named?;
         self.intake.lock().word(now, target).map(Question::Send)
     }
 
     /// What others should hear of.
-    pub(crate) fn take_limits(&self) -> Vec<Word> {
+    pub(crate) fn take_limits(&self) -> Vec<Update> {
         self.intake.lock().take_news(self.clock.now())
     }
 
     /// What an entry is told when its link opens.
-    pub(crate) fn all_limits(&self) -> Vec<Word> {
+    pub(crate) fn all_limits(&self) -> Vec<Update> {
         self.intake.lock().all(self.clock.now())
     }
 
     /// Takes in words of another entry; returns those that were news.
-    pub(crate) fn hear_limits(&self, words: Vec<Word>) -> Vec<Word> {
+    pub(crate) fn hear_limits(&self, words: Vec<Update>) -> Vec<Update> {
         self.intake.lock().hear(self.clock.now(), words)
     }
 
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -42,11 +42,12 @@
 
 /// What one entry tells another of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Update {
     /// The target.
     pub target: id::Target,
     /// Which start of it.
     pub start: Option<Start>,
     /// For how many milliseconds it stays cold.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub remaining_ms: u64,
 }
--- a/crates/policy/src/cordon.rs
+++ b/crates/policy/src/cordon.rs
@@ -33,9 +33,10 @@
 
 /// What entries tell each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Update {
     /// Where in the registry's history the set was read.
-    pub at: Position,
+    #[serde(rename = "at")]
+    pub position: Position,
     /// The domains that are cordoned. Those that a registry lacked as it came back from a copy have the
     /// milliseconds for which they still count.
     pub domains: BTreeMap<id::Domain, Option<u64>>,
@@ -123,11 +124,11 @@
     }
 
     /// Takes in what another entry tells; returns whether the set is another now.
-    pub fn hear(&mut self, now: Time, word: Word) -> bool {
-        if self.at.is_some_and(|known| known >= word.at) {
+    pub fn hear(&mut self, now: Time, word: Update) -> bool {
+        if self.at.is_some_and(|known| known >= word.position) {
             return false;
         }
-        self.know(now, word.at);
+        self.know(now, word.position);
         let until = |left: u64| now + Duration::from_millis(left);
         let new = word.domains.into_iter().take(BOUND);
         let new = new.map(|(domain, left)| (domain, left.map(until))).collect();
@@ -137,17 +138,17 @@
     /// What others should hear of again and again: cordons there are, or were a short while ago, and that
     /// there are none where that has just become known here. Whoever has just been linked hears
     /// [all](Self::word).
-    pub fn news(&self, now: Time) -> Option<Word> {
+    pub fn news(&self, now: Time) -> Option<Update> {
         let learned = now.since(self.learned) < SETTLING;
         let news = learned || !self.domains.is_empty() || !self.lifted.is_empty();
         news.then(|| self.word(now)).flatten()
     }
 
     /// What others should hear of; `None` before the first reading.
-    pub fn word(&self, now: Time) -> Option<Word> {
+    pub fn word(&self, now: Time) -> Option<Update> {
         let left = |until: Time| u64::try_from(until.since(now).as_millis()).unwrap_or(u64::MAX);
         let domains = self.domains.iter().map(|(domain, until)| (domain.clone(), until.map(left)));
-        Some(Word { at: self.at?, domains: domains.collect() })
+        Some(Update { position: self.at?, domains: domains.collect() })
     }
 
     /// Drops what stayed missing after the registry's return; returns whether anything was.
--- a/crates/policy/src/intake.rs
+++ b/crates/policy/src/intake.rs
@@ -45,7 +45,7 @@
 
 /// What entries tell each other of one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Update {
     /// The target.
     pub target: id::Target,
     /// Which start of it.
@@ -53,7 +53,8 @@
     /// What it takes; `None` where it names no limit any more.
     pub limit: Option<RequestRate>,
     /// How many milliseconds ago it said so.
-    pub age: u64,
+    #[serde(rename = "age")]
+    pub age_ms: u64,
 }
 
 /// What one target said last.
@@ -100,12 +101,12 @@
     }
 
     /// Takes in what another entry heard; returns the words that were news.
-    pub fn hear(&mut self, now: Time, words: Vec<Word>) -> Vec<Word> {
+    pub fn hear(&mut self, now: Time, words: Vec<Update>) -> Vec<Update> {
         words.into_iter().filter(|word| self.take(now, word)).collect()
     }
 
-    fn take(&mut self, now: Time, word: &Word) -> bool {
-        let at = now - Duration::from_millis(word.age);
+    fn take(&mut self, now: Time, word: &Update) -> bool {
+        let at = now - Duration::from_millis(word.age_ms);
         if let Some(known) = self.named.get(&word.target) {
             let later = is_older(word.start, known.start);
             let older = !is_older(known.start, word.start) && at <= known.at;
@@ -137,7 +138,7 @@
     }
 
     /// What others should hear of since this was last asked.
-    pub fn take_news(&mut self, now: Time) -> Vec<Word> {
+    pub fn take_news(&mut self, now: Time) -> Vec<Update> {
         let news = std::mem::take(&mut self.news);
         for target in &news {
             if let Some(named) = self.named.get_mut(target) {
@@ -148,16 +149,16 @@
     }
 
     /// All limits that are named, for an entry that knows none.
-    pub fn all(&self, now: Time) -> Vec<Word> {
+    pub fn all(&self, now: Time) -> Vec<Update> {
         let limited = self.named.iter().filter(|(_, named)| named.limit.is_some());
         limited.filter_map(|(target, _)| self.word(now, target)).collect()
     }
 
     /// What is known of one target.
-    pub fn word(&self, now: Time, target: &id::Target) -> Option<Word> {
+    pub fn word(&self, now: Time, target: &id::Target) -> Option<Update> {
         let named = self.named.get(target)?;
-        let age = u64::try_from(now.since(named.at).as_millis()).unwrap_or(u64::MAX);
-        Some(Word { target: target.clone(), start: named.start, limit: named.limit, age })
+        let age_ms = u64::try_from(now.since(named.at).as_millis()).unwrap_or(u64::MAX);
+        Some(Update { target: target.clone(), start: named.start, limit: named.limit, age_ms })
     }
 }
 
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -305,9 +305,9 @@
 
     /// Takes in that a target is cold; returns whether that was not known. What is said of another start
     /// says nothing.
-    pub fn note_cold(&mut self, now: Time, word: &cold::Word) -> bool {
+    pub fn note_cold(&mut self, now: Time, word: &cold::Update) -> bool {
         let Some(entry) = self.live.get_mut(&word.target) else { return false };
-        let until = now + Duration::from_millis(word.left);
+        let until = now + Duration::from_millis(word.remaining_ms);
         if entry.target.start != word.start || until <= entry.cold.max(now) + COLD_SLACK {
             return false;
         }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use chilled::{Plan, Traffic, Trouble, Way, World};
-use fireflyhoist_policy::cold::{Terms, Word};
+use fireflyhoist_policy::cold::{Terms, Update};
 use fireflyhoist_policy::keeper::{Allowance, Keeper};
 use fireflyhoist_policy::lease::{Change, Leases, Start, State, Target};
 use fireflyhoist_policy::position::Position;
@@ -161,8 +161,11 @@
 fn what_another_entry_says_of_a_cold_target_is_taken_in() {
     let mut leases = Leases::default();
     leases.list(at(0), Position::new(0, 1), vec![target(0, 1, 1)]);
-    let word =
-        |start| Word { target: target(0, 1, 1).id, start: Some(Start::new(start)), left: 3_000 };
+    let word = |start| Update {
+        target: target(0, 1, 1).id,
+        start: Some(Start::new(start)),
+        remaining_ms: 3_000,
+    };
     assert!(!leases.note_cold(at(0), &word(2)));
     assert!(leases.note_cold(at(0), &word(1)));
     assert!(!leases.note_cold(at(0), &word(1)));
