--- a/crates/gateway/src/native.rs
+++ b/crates/gateway/src/native.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::cordon;
-use fireflyhoist_policy::intake::Said;
+use fireflyhoist_policy::intake::Advertisement;
 use fireflyhoist_policy::lease;
 use fireflyhoist_policy::route::Text;
 use fireflyhoist_policy::unit::Tokens;
@@ -105,7 +105,7 @@
             request: text(headers, REQUEST_HEADER).map(SmolStr::from),
             declined: headers.contains_key(DECLINED_HEADER),
             misdirected: status == StatusCode::MISDIRECTED_REQUEST,
-            limit: text(headers, TAKES_HEADER).map(Said::parse).unwrap_or_default(),
+            limit: text(headers, TAKES_HEADER).map(Advertisement::parse).unwrap_or_default(),
         }
     }
 
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -8,7 +8,7 @@
 
 use derive_more::{Display, Error};
 use fireflyhoist_policy::cordon;
-use fireflyhoist_policy::intake::Said;
+use fireflyhoist_policy::intake::Advertisement;
 use fireflyhoist_policy::lease;
 use fireflyhoist_policy::route::Text;
 use fireflyhoist_policy::unit::Tokens;
@@ -73,7 +73,7 @@
     /// Whether another instance answers at the target's address.
     pub misdirected: bool,
     /// What the target says it takes.
-    pub limit: Said,
+    pub limit: Advertisement,
 }
 
 /// Headers of requests and responses.
--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -4,7 +4,7 @@
 
 use fireflyhoist_policy::cold;
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::intake::{Said, Update};
+use fireflyhoist_policy::intake::{Advertisement, Update};
 use fireflyhoist_policy::keeper::Allowance;
 use fireflyhoist_policy::lease::{Leases, Target};
 use fireflyhoist_policy::time::Time;
@@ -14,8 +14,8 @@
 
 impl Process {
     /// Takes in what the answer to a request that was sent at `sent` says of its target's limit.
-    pub(crate) fn note_limit(&self, target: &Target, sent: Time, said: Said) {
-        if said == Said::Unreadable {
+    pub(crate) fn note_limit(&self, target: &Target, sent: Time, said: Advertisement) {
+        if said == Advertisement::Invalid {
             ::log::debug!(target:% = target.id; "limit of a target can't be read");
         }
         let mut intake = self.intake.lock();
--- a/crates/policy/src/intake.rs
+++ b/crates/policy/src/intake.rs
@@ -23,22 +23,22 @@
 
 /// What one answer says of its target's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Said {
+pub enum Advertisement {
     /// It names none.
     #[default]
-    Nothing,
+    Absent,
     /// It takes so much.
     Limit(RequestRate),
     /// It names something that is no rate, which says nothing about the one before.
-    Unreadable,
+    Invalid,
 }
 
-impl Said {
+impl Advertisement {
     /// Reads a limit as it is named.
     pub fn parse(text: &str) -> Self {
         match RequestRate::from_str(text.trim()) {
             Ok(rate) if (0.0..=MOST).contains(&rate.get()) => Self::Limit(rate),
-            _ => Self::Unreadable,
+            _ => Self::Invalid,
         }
     }
 }
@@ -80,15 +80,21 @@
     ///
     /// An answer without a limit lifts one only where its request was sent after that was named:
     /// answers overtake each other.
-    pub fn answered(&mut self, now: Time, target: &Target, sent: Time, said: Said) -> bool {
+    pub fn answered(
+        &mut self,
+        now: Time,
+        target: &Target,
+        sent: Time,
+        said: Advertisement,
+    ) -> bool {
         let known = self.named.get(&target.id).filter(|named| !is_older(named.start, target.start));
         let limit = match (said, known) {
-            (Said::Unreadable, _) | (Said::Nothing, None) => return false,
-            (Said::Nothing, Some(known)) if known.limit.is_none() || sent <= known.at => {
+            (Advertisement::Invalid, _) | (Advertisement::Absent, None) => return false,
+            (Advertisement::Absent, Some(known)) if known.limit.is_none() || sent <= known.at => {
                 return false;
             }
-            (Said::Nothing, Some(_)) => None,
-            (Said::Limit(rate), _) => Some(rate),
+            (Advertisement::Absent, Some(_)) => None,
+            (Advertisement::Limit(rate), _) => Some(rate),
         };
         let before = known.and_then(|known| known.limit);
         let told = known.and_then(|known| known.told);
--- a/crates/policy/tests/intake.rs
+++ b/crates/policy/tests/intake.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::intake::{Book, Said};
+use fireflyhoist_policy::intake::{Advertisement, Book};
 use fireflyhoist_policy::keeper::{Allowance, Keeper};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::RequestRate;
@@ -24,8 +24,8 @@
     Time::ZERO + Duration::from_millis(ms)
 }
 
-fn rate(rate: f64) -> Said {
-    Said::Limit(RequestRate::new(rate))
+fn rate(rate: f64) -> Advertisement {
+    Advertisement::Limit(RequestRate::new(rate))
 }
 
 fn plan(members: usize, asked: f64, limit: fn(u64) -> Option<f64>) -> Plan {
@@ -105,9 +105,9 @@
 fn an_older_answer_lifts_nothing() {
     let (mut book, target) = (Book::default(), target("t-1", None));
     assert!(book.answered(at(100), &target, at(50), rate(5.0)));
-    assert!(!book.answered(at(110), &target, at(40), Said::Nothing));
+    assert!(!book.answered(at(110), &target, at(40), Advertisement::Absent));
     assert_eq!(book.limit(&target.id), Some(RequestRate::new(5.0)));
-    assert!(book.answered(at(200), &target, at(150), Said::Nothing));
+    assert!(book.answered(at(200), &target, at(150), Advertisement::Absent));
     assert_eq!(book.limit(&target.id), None);
 }
 
@@ -122,10 +122,10 @@
 )]
 fn what_cannot_be_read_says_nothing(text: &str) {
     let (mut book, target) = (Book::default(), target("t-1", None));
-    assert_eq!(Said::parse(text), Said::Unreadable);
-    assert!(!book.answered(at(10), &target, at(5), Said::parse(text)));
+    assert_eq!(Advertisement::parse(text), Advertisement::Invalid);
+    assert!(!book.answered(at(10), &target, at(5), Advertisement::parse(text)));
     book.answered(at(100), &target, at(50), rate(5.0));
-    assert!(!book.answered(at(200), &target, at(150), Said::parse(text)));
+    assert!(!book.answered(at(200), &target, at(150), Advertisement::parse(text)));
     assert_eq!(book.limit(&target.id), Some(RequestRate::new(5.0)));
 }
 
--- a/crates/policy/tests/support/limited.rs
+++ b/crates/policy/tests/support/limited.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use fireflyhoist_policy::intake::{Book, Said};
+use fireflyhoist_policy::intake::{Advertisement, Book};
 use fireflyhoist_policy::keeper::{Allowance, Keeper};
 use fireflyhoist_policy::lease::{Start, State, Target};
 use fireflyhoist_policy::rendezvous;
@@ -235,8 +235,8 @@
                 self.at(ANSWER, Event::Answer { member, sent, limit });
             }
             Event::Answer { member, sent, limit } => {
-                let rate = |limit: u64| Said::Limit(RequestRate::new(limit as f64 / 1e3));
-                let said = limit.map_or(Said::Nothing, rate);
+                let rate = |limit: u64| Advertisement::Limit(RequestRate::new(limit as f64 / 1e3));
+                let said = limit.map_or(Advertisement::Absent, rate);
                 let target = self.target.clone();
                 self.members[member].book.answered(self.now, &target, sent, said);
                 self.at(TOLD, Event::Flush { member });
