--- a/crates/daemon/src/process/limits.rs
+++ b/crates/daemon/src/process/limits.rs
@@ -5,9 +5,9 @@
 
 use fireflyhoist_policy::gate::{Reason, Refusal};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::limit::{self, Limit, Part};
 use fireflyhoist_policy::placement;
 use fireflyhoist_policy::unit::Tokens;
+use fireflyhoist_policy::workspace_limit::{self, Limit, Part};
 use fireflyhoist_text::Text;
 use fireflyhoist_wire::platform::{Hosts, State};
 use parking_lot::Mutex;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Limits {
     clock: Clock,
-    shards: [Mutex<limit::Limits>; SHARDS],
+    shards: [Mutex<workspace_limit::Limits>; SHARDS],
 }
 
 impl Limits {
@@ -61,7 +61,7 @@
         Ok(Permit { limits: Arc::clone(self), workspace: workspace.clone(), spent: 0 })
     }
 
-    fn shard(&self, workspace: &id::Workspace) -> &Mutex<limit::Limits> {
+    fn shard(&self, workspace: &id::Workspace) -> &Mutex<workspace_limit::Limits> {
         let hash = placement::prefix(workspace.as_str());
         &self.shards[hash as usize % SHARDS]
     }
--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -7,13 +7,13 @@
 use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::cordon;
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::intake;
 use fireflyhoist_policy::lease::{Change, Target};
+use fireflyhoist_policy::migration_queue::Migration;
 use fireflyhoist_policy::poison;
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::presence::Update;
 use fireflyhoist_policy::roster::Member;
-use fireflyhoist_policy::turn::Ask;
+use fireflyhoist_policy::target_limit;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_policy::witness::Outcome;
 use fireflyhoist_text::transfer::Message;
@@ -91,7 +91,7 @@
     /// May a request that is held back be tried? With what the sender knows of it.
     Trial(poison::Record),
     /// May a request be sent to a target that names a limit? With what the sender knows of it.
-    Send(intake::Update),
+    Send(target_limit::Update),
     /// May a request be sent to a target that is cold? With what the sender knows of it.
     Cold(cold::Update),
 }
@@ -148,9 +148,9 @@
     /// Requests under which targets ended, as far as that is news.
     Poison(Vec<poison::Record>),
     /// Limits that targets named, as far as that is news.
-    Limits(Vec<intake::Update>),
+    Limits(Vec<target_limit::Update>),
     /// A request was sent to a target that names a limit without asking for leave.
-    Spent(intake::Update),
+    Spent(target_limit::Update),
     /// A request was sent to a target that is cold without asking for leave.
     SpentCold(cold::Update),
     /// Something that the receiver decides for all entries.
@@ -172,7 +172,7 @@
         /// The engine.
         engine: id::Target,
         /// The answer.
-        ask: Ask,
+        ask: Migration,
     },
     /// It is the turn of an answer of the receiver.
     Turn {
--- a/crates/gateway/src/native.rs
+++ b/crates/gateway/src/native.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::cordon;
-use fireflyhoist_policy::intake::Advertisement;
 use fireflyhoist_policy::lease;
 use fireflyhoist_policy::route::Text;
+use fireflyhoist_policy::target_limit::Advertisement;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_wire::caller::{
     Entries, Entry, LAST_EVENT_HEADER, REQUEST_HEADER, WORKSPACE_HEADER,
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -8,9 +8,9 @@
 
 use derive_more::{Display, Error};
 use fireflyhoist_policy::cordon;
-use fireflyhoist_policy::intake::Advertisement;
 use fireflyhoist_policy::lease;
 use fireflyhoist_policy::route::Text;
+use fireflyhoist_policy::target_limit::Advertisement;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_wire::caller::Entry;
 use ntex::http::{HeaderMap, Method, StatusCode};
--- a/crates/gateway/src/process/fleet/intake.rs
+++ b/crates/gateway/src/process/fleet/intake.rs
@@ -1,7 +1,7 @@
 //! What entries tell each other of the limits that targets name.
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::intake::Update;
+use fireflyhoist_policy::target_limit::Update;
 
 use crate::connection::frame::{Frame, Question};
 use crate::process::fleet::Fleet;
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -21,6 +21,7 @@
 use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::Change;
+use fireflyhoist_policy::migration_queue::Migration;
 use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::outage::{self, Part};
 use fireflyhoist_policy::position::Position;
@@ -28,7 +29,6 @@
 use fireflyhoist_policy::rendezvous;
 use fireflyhoist_policy::roster::{self, Member};
 use fireflyhoist_policy::time::Time;
-use fireflyhoist_policy::turn::Ask;
 use fireflyhoist_policy::version::Fetch;
 use fireflyhoist_text::transfer::Transfer;
 use ntex::time::sleep;
@@ -277,7 +277,7 @@
         }
     }
 
-    pub(crate) fn ask_turn(&self, keeper: &id::Host, engine: &id::Target, ask: Ask) {
+    pub(crate) fn ask_turn(&self, keeper: &id::Host, engine: &id::Target, ask: Migration) {
         self.tell(keeper, &Frame::TurnAsk { engine: engine.clone(), ask });
     }
 
--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -4,10 +4,10 @@
 
 use fireflyhoist_policy::cold;
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::intake::{Advertisement, Update};
-use fireflyhoist_policy::keeper::Allowance;
 use fireflyhoist_policy::lease::{Leases, Target};
+use fireflyhoist_policy::target_limit::{Advertisement, Update};
 use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::Allowance;
 
 use crate::connection::frame::Question;
 use crate::process::state::{Process, millis};
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -14,14 +14,14 @@
 use fireflyhoist_policy::comeback::{Ledger, Print};
 use fireflyhoist_policy::cordon::Cordons;
 use fireflyhoist_policy::gate;
-use fireflyhoist_policy::intake::Book;
-use fireflyhoist_policy::keeper::Keeper;
 use fireflyhoist_policy::lease::Leases;
 use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::retry;
 use fireflyhoist_policy::route::{Table, Text};
+use fireflyhoist_policy::target_limit::Limits;
 use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::Buckets;
 use fireflyhoist_policy::{id, placement};
 use ntex::time::timeout;
 use parking_lot::{Mutex, RwLock};
@@ -76,9 +76,9 @@
     /// Requests under which targets ended.
     poison: Poison,
     /// What targets say they take.
-    intake: Mutex<Book>,
+    intake: Mutex<Limits>,
     /// What may still be sent to those, where this entry decides.
-    keeper: Mutex<Keeper>,
+    keeper: Mutex<Buckets>,
     /// What other entries hold, by entry.
     others: Mutex<HashMap<id::Host, Vec<Held>>>,
     /// Changes whenever targets do, so that running answers look whether theirs leaves.
@@ -116,7 +116,7 @@
             refused: Mutex::default(),
             poison: Poison::default(),
             intake: Mutex::default(),
-            keeper: Mutex::new(Keeper::settled_from(Time::ZERO + SETTLED)),
+            keeper: Mutex::new(Buckets::settled_from(Time::ZERO + SETTLED)),
             others: Mutex::default(),
             targets: watch::channel(0).0,
             sent: Notify::new(),
--- a/crates/gateway/src/process/turn.rs
+++ b/crates/gateway/src/process/turn.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::turn::{Ask, Turns};
+use fireflyhoist_policy::migration_queue::{Migration, Queues};
 use fireflyhoist_policy::unit::Tokens;
 use ntex::time::{sleep, timeout};
 use parking_lot::Mutex;
@@ -28,7 +28,7 @@
 /// The queues kept here, and the answers of this entry that wait in any.
 #[derive(Debug, Default)]
 pub(crate) struct Desk {
-    turns: Mutex<Turns>,
+    turns: Mutex<Queues>,
     waiters: Mutex<HashMap<Place, oneshot::Sender<()>>>,
     /// Asks of leaves that were passed on, and whose they are.
     passed: Mutex<HashMap<Place, id::Host>>,
@@ -37,7 +37,13 @@
 
 impl Desk {
     /// Takes in an ask, of this entry or another; a leaf's is passed on to the queue's keeper.
-    pub(crate) fn ask(&self, fleet: &Fleet, from: &id::Host, engine: &id::Target, mut ask: Ask) {
+    pub(crate) fn ask(
+        &self,
+        fleet: &Fleet,
+        from: &id::Host,
+        engine: &id::Target,
+        mut ask: Migration,
+    ) {
         let keeper = fleet.keeper(engine.as_str());
         if keeper != *fleet.host() && from != fleet.host() && ask.entry == *from {
             let place = (engine.clone(), ask.request.clone());
@@ -120,7 +126,7 @@
             engine: engine.clone(),
             request: request.clone(),
         };
-        let ask = Ask { entry: fleet.host().clone(), request: request.clone(), left };
+        let ask = Migration { entry: fleet.host().clone(), request: request.clone(), left };
         fleet.ask_turn(&turn.keeper, engine, ask);
         // Guards against a keeper that is gone or cut off: nobody would ever have a turn.
         let _ = timeout(PATIENCE, receiver).await;
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -3,7 +3,7 @@
 //!
 //! Pattern `cold-return`: a failure domain comes back at once, its targets look emptiest to every entry,
 //! and each sends there what it has waiting. A cold target is one whose limit is known beforehand: entries ask
-//! the one that [keeps its bucket](crate::keeper) before each send.
+//! the one that [keeps its bucket](crate::token_bucket) before each send.
 
 use std::time::Duration;
 
--- a/crates/policy/src/turn.rs
+++ b/crates/policy/src/migration_queue.rs
@@ -32,7 +32,7 @@
 
 /// One answer that waits to be copied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Migration {
     /// The entry that it belongs to.
     pub entry: id::Host,
     /// Its request.
@@ -45,12 +45,12 @@
 #[derive(Debug, Default)]
 struct Queue {
     since: Time,
-    waiting: Vec<Ask>,
-    holder: Option<(Ask, Time)>,
+    waiting: Vec<Migration>,
+    holder: Option<(Migration, Time)>,
 }
 
 impl Queue {
-    fn next(&mut self, now: Time) -> Option<Ask> {
+    fn next(&mut self, now: Time) -> Option<Migration> {
         if now.since(self.since) < GATHER {
             return None;
         }
@@ -72,18 +72,18 @@
 
 /// The queues that this entry keeps.
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct Queues {
     queues: BTreeMap<id::Target, Queue>,
 }
 
-impl Turns {
+impl Queues {
     /// Opens without a queue.
     pub fn open() -> Self {
         Self::default()
     }
 
     /// Takes an answer into the queue of its engine.
-    pub fn ask(&mut self, now: Time, engine: &id::Target, ask: Ask) {
+    pub fn ask(&mut self, now: Time, engine: &id::Target, ask: Migration) {
         let queue = self
             .queues
             .entry(engine.clone())
@@ -101,7 +101,7 @@
     }
 
     /// Hands out the turns that are due and forgets queues that are over.
-    pub fn poll(&mut self, now: Time) -> Vec<(id::Target, Ask)> {
+    pub fn poll(&mut self, now: Time) -> Vec<(id::Target, Migration)> {
         let mut due = Vec::new();
         for (engine, queue) in &mut self.queues {
             due.extend(queue.next(now).map(|ask| (engine.clone(), ask)));
@@ -110,7 +110,7 @@
         due
     }
 
-    /// When [`Turns::poll`] may have something to do if nobody asks or ends: soon, or never.
+    /// When [`Queues::poll`] may have something to do if nobody asks or ends: soon, or never.
     pub fn is_idle(&self) -> bool {
         self.queues.is_empty()
     }
--- a/crates/policy/src/intake.rs
+++ b/crates/policy/src/target_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! Pattern `named-limits`: a target in need names in its answers how many requests a second it takes.
 //! Each entry that reads it tells the others, and asks the one that
-//! [keeps the target's bucket](crate::keeper) before it sends there.
+//! [keeps the target's bucket](crate::token_bucket) before it sends there.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -69,12 +69,12 @@
 
 /// Limits that targets have named.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Limits {
     named: HashMap<id::Target, Named>,
     news: Vec<id::Target>,
 }
 
-impl Book {
+impl Limits {
     /// Takes in what the answer to a request says that was sent at `sent`; returns whether the limit
     /// is another than before.
     ///
--- a/crates/policy/src/keeper.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -100,7 +100,7 @@
 /// can't reach each other keep one on each side: each side takes the part of the limit that it has of
 /// the entries that were alive lately, and a little more, since some of the others are gone.
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct Buckets {
     buckets: HashMap<id::Target, Bucket>,
     /// How many entries were alive, and since when, the earliest first.
     alive: VecDeque<(Time, usize)>,
@@ -108,7 +108,7 @@
     settled: Time,
 }
 
-impl Keeper {
+impl Buckets {
     /// The keeper of an entry that knows the others from a time on. Before, each of several that start
     /// together would decide for all, so it lets nothing through to targets that crash above a bound.
     pub fn settled_from(settled: Time) -> Self {
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -1,16 +1,16 @@
 //! Pattern `cold-return`: targets that come back cold, and look emptiest to every entry.
 
-#[path = "support/chilled.rs"]
-mod chilled;
+#[path = "support/cold_fleet.rs"]
+mod cold_fleet;
 
 use std::time::Duration;
 
-use chilled::{Plan, Traffic, Trouble, Way, World};
+use cold_fleet::{Plan, Traffic, Trouble, Way, World};
 use fireflyhoist_policy::cold::{Terms, Update};
-use fireflyhoist_policy::keeper::{Allowance, Keeper};
 use fireflyhoist_policy::lease::{Change, Leases, Start, State, Target};
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::{Allowance, Buckets};
 use fireflyhoist_policy::unit::RequestRate;
 use yare::parameterized;
 
@@ -111,7 +111,7 @@
 fn a_bound_below_one_request_lets_none_through() {
     let terms = Terms { per_s: RequestRate::new(0.2), excess: 1.5, margin: 0.0 };
     let allowance = Allowance { named: None, cold: Some(terms) };
-    let mut keeper = Keeper::default();
+    let mut keeper = Buckets::default();
     let id = target(0, 1, 1).id;
     let granted = (0..600).filter(|s| keeper.try_send(at(s * 100), &id, &allowance).is_none());
     assert_eq!(granted.count(), 0);
@@ -124,7 +124,7 @@
     let cold = Terms { per_s: RequestRate::new(1.0), excess: 1.5, margin: 0.0 };
     for (named, cold) in [(Some(50.0), cold), (Some(1.0), Terms { margin: 50.0, ..cold })] {
         let allowance = Allowance { named: named.map(RequestRate::new), cold: Some(cold) };
-        let mut keeper = Keeper::default();
+        let mut keeper = Buckets::default();
         let mut granted = 0;
         for ms in 0..10_000 {
             granted += usize::from(keeper.try_send(at(ms), &id, &allowance).is_none());
--- a/crates/policy/tests/support/chilled.rs
+++ b/crates/policy/tests/support/cold_fleet.rs
@@ -6,9 +6,9 @@
 
 use fireflyhoist_policy::cold::Terms;
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::keeper::{Allowance, Keeper};
 use fireflyhoist_policy::rendezvous;
 use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::{Allowance, Buckets};
 use fireflyhoist_policy::unit::RequestRate;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Way {
     /// One entry keeps the bucket of a target.
-    Keeper,
+    Owner,
     /// Each entry has its part of the rate.
     Parts,
     /// Each sends more as the target gets warm, and asks nobody.
@@ -73,7 +73,7 @@
 impl Default for Plan {
     fn default() -> Self {
         Self {
-            way: Way::Keeper,
+            way: Way::Owner,
             members: 30,
             targets: 15,
             asked: 200.0,
@@ -126,7 +126,7 @@
 }
 
 struct Member {
-    keeper: Keeper,
+    keeper: Buckets,
     closed: Vec<Time>,
     /// What is left of its own part, for [`Way::Parts`].
     own: Vec<(f64, Time)>,
@@ -148,7 +148,7 @@
     pub(crate) fn open(plan: Plan) -> Self {
         let targets = (0..plan.targets).map(|n| format!("t-{n}").parse().expect("a name"));
         let member = |_| Member {
-            keeper: Keeper::default(),
+            keeper: Buckets::default(),
             closed: vec![Time::ZERO; plan.targets],
             own: vec![(0.0, Time::ZERO); plan.targets],
         };
@@ -191,7 +191,7 @@
             if self.plan.trouble == Trouble::Restarts && now.since(Time::ZERO).as_secs() > second {
                 second += 1;
                 self.members.iter_mut().for_each(|member| {
-                    member.keeper = Keeper::default();
+                    member.keeper = Buckets::default();
                     member.keeper.set_alive(now, self.plan.members);
                 });
             }
@@ -235,7 +235,7 @@
         }
         let target = open[self.rng.random_range(0..open.len())];
         match self.plan.way {
-            Way::Keeper => {
+            Way::Owner => {
                 let reached: Vec<(usize, String)> =
                     self.names.iter().filter(|(n, _)| self.reaches(member, *n)).cloned().collect();
                 let ranked = rendezvous::rank(self.targets[target].as_str(), &reached, |(_, n)| n);
--- a/crates/policy/tests/support/limited.rs
+++ b/crates/policy/tests/support/limited_fleet.rs
@@ -4,11 +4,11 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use fireflyhoist_policy::intake::{Advertisement, Book};
-use fireflyhoist_policy::keeper::{Allowance, Keeper};
 use fireflyhoist_policy::lease::{Start, State, Target};
 use fireflyhoist_policy::rendezvous;
+use fireflyhoist_policy::target_limit::{Advertisement, Limits};
 use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::{Allowance, Buckets};
 use fireflyhoist_policy::unit::RequestRate;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -115,8 +115,8 @@
 
 #[derive(Debug, Default)]
 struct Member {
-    book: Book,
-    keeper: Keeper,
+    book: Limits,
+    keeper: Buckets,
     closed: Time,
     up: bool,
 }
--- a/crates/policy/tests/intake.rs
+++ b/crates/policy/tests/target_limit.rs
@@ -1,15 +1,15 @@
 //! Pattern `named-limits`: targets that name how many requests a second they take.
 
-#[path = "support/limited.rs"]
-mod limited;
+#[path = "support/limited_fleet.rs"]
+mod limited_fleet;
 
 use std::time::Duration;
 
-use fireflyhoist_policy::intake::{Advertisement, Book};
-use fireflyhoist_policy::keeper::{Allowance, Keeper};
+use fireflyhoist_policy::target_limit::{Advertisement, Limits};
 use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::{Allowance, Buckets};
 use fireflyhoist_policy::unit::RequestRate;
-use limited::{Plan, STABLE, Traffic, Trouble, World, target};
+use limited_fleet::{Plan, STABLE, Traffic, Trouble, World, target};
 use yare::parameterized;
 
 /// The bound in a span of four seconds.
@@ -103,7 +103,7 @@
 /// Guards against an answer that was overtaken lifting a limit that is in force.
 #[test]
 fn an_older_answer_lifts_nothing() {
-    let (mut book, target) = (Book::default(), target("t-1", None));
+    let (mut book, target) = (Limits::default(), target("t-1", None));
     assert!(book.answered(at(100), &target, at(50), rate(5.0)));
     assert!(!book.answered(at(110), &target, at(40), Advertisement::Absent));
     assert_eq!(book.limit(&target.id), Some(RequestRate::new(5.0)));
@@ -121,7 +121,7 @@
     empty = { "" },
 )]
 fn what_cannot_be_read_says_nothing(text: &str) {
-    let (mut book, target) = (Book::default(), target("t-1", None));
+    let (mut book, target) = (Limits::default(), target("t-1", None));
     assert_eq!(Advertisement::parse(text), Advertisement::Invalid);
     assert!(!book.answered(at(10), &target, at(5), Advertisement::parse(text)));
     book.answered(at(100), &target, at(50), rate(5.0));
@@ -132,13 +132,13 @@
 /// Guards against a target that started again being held to what it said before.
 #[test]
 fn a_restart_names_no_limit() {
-    let (mut book, old) = (Book::default(), target("t-1", Some(1)));
+    let (mut book, old) = (Limits::default(), target("t-1", Some(1)));
     let new = target("t-1", Some(2));
     book.answered(at(100), &old, at(50), rate(5.0));
     book.keep(|_| Some(&new));
     assert_eq!(book.limit(&old.id), None);
     // What others heard of the old start comes later.
-    let mut other = Book::default();
+    let mut other = Limits::default();
     other.answered(at(100), &old, at(50), rate(5.0));
     book.answered(at(200), &new, at(150), rate(9.0));
     book.hear(at(300), other.take_news(at(100)));
@@ -148,8 +148,8 @@
 /// Guards against the word of an entry that heard nothing since overruling a newer one.
 #[test]
 fn the_latest_word_counts() {
-    let (mut book, target) = (Book::default(), target("t-1", None));
-    let mut other = Book::default();
+    let (mut book, target) = (Limits::default(), target("t-1", None));
+    let mut other = Limits::default();
     other.answered(at(100), &target, at(90), rate(5.0));
     book.answered(at(400), &target, at(390), rate(2.0));
     book.hear(at(500), other.all(at(500)));
@@ -161,7 +161,7 @@
 /// Guards against all that were sent away coming back in the same moment.
 #[test]
 fn those_sent_away_come_back_one_after_the_other() {
-    let (mut keeper, target) = (Keeper::default(), target("t-1", None));
+    let (mut keeper, target) = (Buckets::default(), target("t-1", None));
     let allowance = Allowance { named: Some(RequestRate::new(10.0)), cold: None };
     let waits: Vec<Duration> =
         (0..8).filter_map(|_| keeper.try_send(at(1_000), &target.id, &allowance)).collect();
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/workspace_limit.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id::{Host, Workspace};
-use fireflyhoist_policy::limit::{Limit, Limits, Part};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::{TokenRate, Tokens};
+use fireflyhoist_policy::workspace_limit::{Limit, Limits, Part};
 use proptest::prelude::*;
 
 fn hosts(count: usize) -> Vec<Host> {
