--- a/crates/gateway/src/process/turn.rs
+++ b/crates/gateway/src/process/turn.rs
@@ -52,7 +52,7 @@
             fleet.ask_turn(&keeper, engine, ask);
             return;
         }
-        self.turns.lock().ask(fleet.now(), engine, ask);
+        self.turns.lock().enqueue(fleet.now(), engine, ask);
         self.asked.notify_one();
     }
 
@@ -63,7 +63,7 @@
             fleet.tell(&fleet.keeper(engine.as_str()), &frame);
             return;
         }
-        self.turns.lock().done(engine, request);
+        self.turns.lock().finish(engine, request);
         self.asked.notify_one();
     }
 
@@ -126,7 +126,8 @@
             engine: engine.clone(),
             request: request.clone(),
         };
-        let ask = Migration { entry: fleet.host().clone(), request: request.clone(), left };
+        let ask =
+            Migration { entry: fleet.host().clone(), request: request.clone(), remaining: left };
         fleet.ask_turn(&turn.keeper, engine, ask);
         // Guards against a keeper that is gone or cut off: nobody would ever have a turn.
         let _ = timeout(PATIENCE, receiver).await;
--- a/crates/policy/src/migration_queue.rs
+++ b/crates/policy/src/migration_queue.rs
@@ -24,11 +24,11 @@
 
 /// How long a queue collects before its first turn: entries learn that an engine leaves within a
 /// few milliseconds of each other, and the order matters more than these.
-const GATHER: Duration = Duration::from_millis(12);
+const GATHER_TIME: Duration = Duration::from_millis(12);
 
 /// How long a turn may last before the next begins all the same: a full engine's memory takes less
 /// over an idle link within a failure domain, and who holds the turn may be gone.
-const LONGEST: Duration = Duration::from_millis(900);
+const MIGRATION_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// One answer that waits to be copied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,34 +39,43 @@
     pub request: SmolStr,
     /// Tokens that it is expected to produce still. The longest goes first: it is the most certain
     /// to be cut if it stays, and the most is lost with it.
-    pub left: Tokens,
+    #[serde(rename = "left")]
+    pub remaining: Tokens,
 }
 
 #[derive(Debug, Default)]
 struct Queue {
-    since: Time,
+    opened_at: Time,
     waiting: Vec<Migration>,
-    holder: Option<(Migration, Time)>,
+    active: Option<(Migration, Time)>,
 }
 
 impl Queue {
-    fn next(&mut self, now: Time) -> Option<Migration> {
-        if now.since(self.since) < GATHER {
+    fn start_next(&mut self, now: Time) -> Option<Migration> {
+        if now.since(self.opened_at) < GATHER_TIME {
             return None;
         }
-        if self.holder.as_ref().is_some_and(|(_, since)| now.since(*since) < LONGEST) {
+        if self
+            .active
+            .as_ref()
+            .is_some_and(|(_, started_at)| now.since(*started_at) < MIGRATION_TIMEOUT)
+        {
             return None;
         }
-        let longest = self.waiting.iter().enumerate().max_by_key(|(_, ask)| ask.left);
-        let at = longest.map(|(at, _)| at)?;
-        let ask = self.waiting.swap_remove(at);
-        self.holder = Some((ask.clone(), now));
-        Some(ask)
+        let longest =
+            self.waiting.iter().enumerate().max_by_key(|(_, migration)| migration.remaining);
+        let index = longest.map(|(index, _)| index)?;
+        let migration = self.waiting.swap_remove(index);
+        self.active = Some((migration.clone(), now));
+        Some(migration)
     }
 
-    fn is_over(&self, now: Time) -> bool {
-        let held = self.holder.as_ref().is_some_and(|(_, since)| now.since(*since) < LONGEST);
-        self.waiting.is_empty() && !held
+    fn is_finished(&self, now: Time) -> bool {
+        let is_active = self
+            .active
+            .as_ref()
+            .is_some_and(|(_, started_at)| now.since(*started_at) < MIGRATION_TIMEOUT);
+        self.waiting.is_empty() && !is_active
     }
 }
 
@@ -78,25 +87,25 @@
 
 impl Queues {
     /// Opens without a queue.
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self::default()
     }
 
     /// Takes an answer into the queue of its engine.
-    pub fn ask(&mut self, now: Time, engine: &id::Target, ask: Migration) {
+    pub fn enqueue(&mut self, now: Time, engine: &id::Target, migration: Migration) {
         let queue = self
             .queues
             .entry(engine.clone())
-            .or_insert_with(|| Queue { since: now, ..Queue::default() });
-        queue.waiting.push(ask);
+            .or_insert_with(|| Queue { opened_at: now, ..Queue::default() });
+        queue.waiting.push(migration);
     }
 
     /// Notes that an answer has been copied, or needs no copy any more.
-    pub fn done(&mut self, engine: &id::Target, request: &str) {
+    pub fn finish(&mut self, engine: &id::Target, request: &str) {
         let Some(queue) = self.queues.get_mut(engine) else { return };
-        queue.waiting.retain(|ask| ask.request != request);
-        if queue.holder.as_ref().is_some_and(|(ask, _)| ask.request == request) {
-            queue.holder = None;
+        queue.waiting.retain(|migration| migration.request != request);
+        if queue.active.as_ref().is_some_and(|(migration, _)| migration.request == request) {
+            queue.active = None;
         }
     }
 
@@ -104,9 +113,9 @@
     pub fn poll(&mut self, now: Time) -> Vec<(id::Target, Migration)> {
         let mut due = Vec::new();
         for (engine, queue) in &mut self.queues {
-            due.extend(queue.next(now).map(|ask| (engine.clone(), ask)));
+            due.extend(queue.start_next(now).map(|migration| (engine.clone(), migration)));
         }
-        self.queues.retain(|_, queue| !queue.is_over(now));
+        self.queues.retain(|_, queue| !queue.is_finished(now));
         due
     }
 
