--- a/crates/gateway/src/process/state/cordon.rs
+++ b/crates/gateway/src/process/state/cordon.rs
@@ -17,7 +17,7 @@
 
     /// Whether nothing new is sent to a target because of where it stands.
     pub(crate) fn is_cordoned(&self, target: &Target) -> bool {
-        self.cordons.lock().has(&target.domain)
+        self.cordons.lock().contains(&target.domain)
     }
 
     /// Failure domains that get nothing new.
@@ -28,19 +28,19 @@
     /// Takes in all cordons.
     pub(crate) fn list_cordons(&self, at: Position, listed: BTreeSet<id::Domain>) -> bool {
         let now = self.clock.now();
-        self.update_cordons("registry", |cordons| cordons.list(now, at, listed))
+        self.update_cordons("registry", |cordons| cordons.apply_list(now, at, listed))
     }
 
     /// Takes in single changes of cordons.
     pub(crate) fn change_cordons(&self, at: Position, changes: &[Change]) -> bool {
         let now = self.clock.now();
-        self.update_cordons("registry", |cordons| cordons.change(now, at, changes))
+        self.update_cordons("registry", |cordons| cordons.apply_changes(now, at, changes))
     }
 
     /// Takes in what another entry tells.
     pub(crate) fn hear_cordons(&self, word: Update) -> bool {
         let now = self.clock.now();
-        self.update_cordons("peer", |cordons| cordons.hear(now, word))
+        self.update_cordons("peer", |cordons| cordons.apply_update(now, word))
     }
 
     /// Drops cordons that a registry still lacks some time after it came back from a copy.
@@ -51,12 +51,12 @@
 
     /// What an entry is told when its link opens.
     pub(crate) fn cordon_word(&self) -> Option<Update> {
-        self.cordons.lock().word(self.clock.now())
+        self.cordons.lock().to_update(self.clock.now())
     }
 
-    /// What others are told in each heartbeat; see [`Cordons::news`].
+    /// What others are told in each heartbeat; see [`Cordons::heartbeat_update`].
     pub(crate) fn cordon_news(&self) -> Option<Update> {
-        self.cordons.lock().news(self.clock.now())
+        self.cordons.lock().heartbeat_update(self.clock.now())
     }
 
     /// Returns whether others should hear of it at once.
@@ -71,7 +71,7 @@
         let changed = update(&mut cordons);
         let after: BTreeSet<id::Domain> = cordons.all().cloned().collect();
         let first = !known && cordons.is_known();
-        let at = cordons.at();
+        let at = cordons.position();
         drop(cordons);
         for domain in after.difference(&before) {
             ::log::info!(domain:% = domain, revision:% = at, source = source; "failure domain cordoned");
--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -48,7 +48,7 @@
         let now = self.clock.now();
         let leases = self.leases.lock();
         let Some(target) = leases.get(id) else { return Duration::ZERO };
-        let settles = self.cordons.lock().settles(now, &target.domain);
+        let settles = self.cordons.lock().settle_remaining(now, &target.domain);
         leases.cold(now, id).max(settles)
     }
 
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -57,7 +57,7 @@
         for (service, lane) in lanes.iter() {
             let targets = leases.ready(service).map(|target| target.id.clone()).collect();
             let cordons = self.cordons.lock();
-            let cordoned = leases.ready(service).filter(|target| cordons.has(&target.domain));
+            let cordoned = leases.ready(service).filter(|target| cordons.contains(&target.domain));
             let cordoned = cordoned.map(|target| target.id.clone()).collect();
             drop(cordons);
             lane.set_open(targets, &cordoned);
--- a/crates/policy/tests/cordon.rs
+++ b/crates/policy/tests/cordon.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use fireflyhoist_policy::cordon::{BOUND, Change, Cordons, SETTLING};
+use fireflyhoist_policy::cordon::{Change, Cordons, MAX_DOMAINS, SETTLE_TIME};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::REJOIN;
 use fireflyhoist_policy::position::Position;
@@ -33,15 +33,15 @@
 fn the_newest_reading_wins_whoever_did_it() {
     let mut cordons = Cordons::default();
     assert!(!cordons.is_known());
-    assert!(cordons.list(at(0), Position::new(0, 10), set(&["a"])));
-    assert!(!cordons.list(at(1), Position::new(0, 9), set(&[])));
+    assert!(cordons.apply_list(at(0), Position::new(0, 10), set(&["a"])));
+    assert!(!cordons.apply_list(at(1), Position::new(0, 9), set(&[])));
     let mut other = Cordons::default();
-    other.hear(at(2), cordons.word(at(2)).expect("it is known"));
-    assert!(other.change(at(3), Position::new(0, 12), &[Change::Lifted(domain("a"))]));
-    assert!(!other.hear(at(4), cordons.word(at(4)).expect("it is known")));
+    other.apply_update(at(2), cordons.to_update(at(2)).expect("it is known"));
+    assert!(other.apply_changes(at(3), Position::new(0, 12), &[Change::Lifted(domain("a"))]));
+    assert!(!other.apply_update(at(4), cordons.to_update(at(4)).expect("it is known")));
     assert_eq!(known(&other), set(&[]));
-    assert!(cordons.hear(at(5), other.word(at(5)).expect("it is known")));
-    assert!(!cordons.change(at(6), Position::new(0, 11), &[Change::Set(domain("b"))]));
+    assert!(cordons.apply_update(at(5), other.to_update(at(5)).expect("it is known")));
+    assert!(!cordons.apply_changes(at(6), Position::new(0, 11), &[Change::Set(domain("b"))]));
     assert_eq!(known(&cordons), set(&[]));
 }
 
@@ -50,7 +50,7 @@
 fn three_hundred_entries_end_alike() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut entries = vec![Cordons::default(); 300];
-    entries.iter_mut().for_each(|one| _ = one.list(at(0), Position::new(0, 1), set(&[])));
+    entries.iter_mut().for_each(|one| _ = one.apply_list(at(0), Position::new(0, 1), set(&[])));
     let mut registry = BTreeSet::new();
     for revision in 2..60 {
         let one = domain(["a", "b", "c", "d", "e"][rng.random_range(0..5)]);
@@ -64,21 +64,25 @@
         // Two read it, late ones read the whole list, the rest are told by whomever they meet.
         let now = at(revision * 100);
         for nth in [0, 1] {
-            entries[nth].change(now, Position::new(0, revision), std::slice::from_ref(&change));
+            entries[nth].apply_changes(
+                now,
+                Position::new(0, revision),
+                std::slice::from_ref(&change),
+            );
         }
         let late = rng.random_range(2..300);
-        entries[late].list(now, Position::new(0, revision), registry.clone());
+        entries[late].apply_list(now, Position::new(0, revision), registry.clone());
         for _ in 0..200 {
             let (from, to) = (rng.random_range(0..300), rng.random_range(0..300));
-            let word = entries[from].word(now).expect("it is known");
-            entries[to].hear(now, word);
+            let word = entries[from].to_update(now).expect("it is known");
+            entries[to].apply_update(now, word);
         }
     }
     let mut order: Vec<usize> = (2..300).collect();
     order.shuffle(&mut rng);
-    let word = entries[0].word(at(7_000)).expect("it is known");
+    let word = entries[0].to_update(at(7_000)).expect("it is known");
     for nth in order {
-        entries[nth].hear(at(7_000), word.clone());
+        entries[nth].apply_update(at(7_000), word.clone());
     }
     assert!(entries.iter().all(|one| known(one) == registry));
 }
@@ -87,9 +91,9 @@
 #[test]
 fn a_cordon_outlives_a_copy_that_lacks_it_for_a_while() {
     let (mut reads, mut told) = (Cordons::default(), Cordons::default());
-    reads.list(at(0), Position::new(0, 50), set(&["a", "b"]));
-    assert!(!reads.list(at(1_000), Position::new(1, 20), set(&["b"])));
-    told.hear(at(1_100), reads.word(at(1_100)).expect("it is known"));
+    reads.apply_list(at(0), Position::new(0, 50), set(&["a", "b"]));
+    assert!(!reads.apply_list(at(1_000), Position::new(1, 20), set(&["b"])));
+    told.apply_update(at(1_100), reads.to_update(at(1_100)).expect("it is known"));
     let rejoin = u64::try_from(REJOIN.as_millis()).expect("milliseconds");
     for one in [&mut reads, &mut told] {
         assert!(!one.expire(at(900 + rejoin)));
@@ -99,9 +103,9 @@
     }
     // Written again in time, it stays.
     let mut again = Cordons::default();
-    again.list(at(0), Position::new(0, 50), set(&["a"]));
-    again.list(at(1_000), Position::new(1, 20), set(&[]));
-    again.change(at(1_500), Position::new(1, 21), &[Change::Set(domain("a"))]);
+    again.apply_list(at(0), Position::new(0, 50), set(&["a"]));
+    again.apply_list(at(1_000), Position::new(1, 20), set(&[]));
+    again.apply_changes(at(1_500), Position::new(1, 21), &[Change::Set(domain("a"))]);
     again.expire(at(60_000));
     assert_eq!(known(&again), set(&["a"]));
 }
@@ -110,38 +114,38 @@
 #[test]
 fn a_domain_settles_after_its_cordon() {
     let mut cordons = Cordons::default();
-    cordons.list(at(0), Position::new(0, 1), set(&["a"]));
-    assert_eq!(cordons.settles(at(0), &domain("a")), Duration::ZERO);
-    cordons.change(at(1_000), Position::new(0, 2), &[Change::Lifted(domain("a"))]);
-    assert_eq!(cordons.settles(at(1_000), &domain("a")), SETTLING);
-    assert_eq!(cordons.settles(at(1_000) + SETTLING, &domain("a")), Duration::ZERO);
+    cordons.apply_list(at(0), Position::new(0, 1), set(&["a"]));
+    assert_eq!(cordons.settle_remaining(at(0), &domain("a")), Duration::ZERO);
+    cordons.apply_changes(at(1_000), Position::new(0, 2), &[Change::Lifted(domain("a"))]);
+    assert_eq!(cordons.settle_remaining(at(1_000), &domain("a")), SETTLE_TIME);
+    assert_eq!(cordons.settle_remaining(at(1_000) + SETTLE_TIME, &domain("a")), Duration::ZERO);
 }
 
 /// Guards against heartbeats that go on telling what all have heard, or leave out a removal.
 #[test]
 fn a_removal_is_told_for_a_while() {
     let mut cordons = Cordons::default();
-    cordons.list(at(0), Position::new(0, 1), set(&[]));
-    let settled = at(0) + SETTLING;
-    assert!(cordons.news(settled).is_none() && cordons.word(settled).is_some());
-    cordons.change(at(10), Position::new(0, 2), &[Change::Set(domain("a"))]);
-    assert!(cordons.news(at(60_000)).is_some());
-    cordons.change(at(60_000), Position::new(0, 3), &[Change::Lifted(domain("a"))]);
+    cordons.apply_list(at(0), Position::new(0, 1), set(&[]));
+    let settled = at(0) + SETTLE_TIME;
+    assert!(cordons.heartbeat_update(settled).is_none() && cordons.to_update(settled).is_some());
+    cordons.apply_changes(at(10), Position::new(0, 2), &[Change::Set(domain("a"))]);
+    assert!(cordons.heartbeat_update(at(60_000)).is_some());
+    cordons.apply_changes(at(60_000), Position::new(0, 3), &[Change::Lifted(domain("a"))]);
     cordons.expire(at(62_000));
-    let told = cordons.news(at(62_000)).expect("a removal is news");
+    let told = cordons.heartbeat_update(at(62_000)).expect("a removal is news");
     assert!(told.domains.is_empty());
-    cordons.expire(at(60_000) + SETTLING);
-    assert!(cordons.news(at(60_000) + SETTLING).is_none());
+    cordons.expire(at(60_000) + SETTLE_TIME);
+    assert!(cordons.heartbeat_update(at(60_000) + SETTLE_TIME).is_none());
 }
 
 /// Guards against entries that start together, each told by peers that did not know yet, and never again.
 #[test]
 fn that_there_are_none_is_news_at_first() {
     let (mut reads, mut told) = (Cordons::default(), Cordons::default());
-    assert!(reads.news(at(0)).is_none());
-    reads.list(at(1_000), Position::new(0, 1), set(&[]));
-    told.hear(at(1_200), reads.news(at(1_200)).expect("it is news"));
-    assert!(told.is_known() && told.news(at(1_300)).is_some());
+    assert!(reads.heartbeat_update(at(0)).is_none());
+    reads.apply_list(at(1_000), Position::new(0, 1), set(&[]));
+    told.apply_update(at(1_200), reads.heartbeat_update(at(1_200)).expect("it is news"));
+    assert!(told.is_known() && told.heartbeat_update(at(1_300)).is_some());
 }
 
 /// Guards against another writer's entries filling the memory.
@@ -149,10 +153,10 @@
 fn what_is_kept_is_bounded() {
     let mut cordons = Cordons::default();
     let many = (0..5_000).map(|nth| domain(&format!("d-{nth}"))).collect();
-    cordons.list(at(0), Position::new(0, 1), many);
+    cordons.apply_list(at(0), Position::new(0, 1), many);
     for nth in 0..5_000 {
         let change = Change::Set(domain(&format!("e-{nth}")));
-        cordons.change(at(1), Position::new(0, 2), &[change]);
+        cordons.apply_changes(at(1), Position::new(0, 2), &[change]);
     }
-    assert_eq!(cordons.all().count(), BOUND);
+    assert_eq!(cordons.all().count(), MAX_DOMAINS);
 }
