--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -19,7 +19,7 @@
             ::log::debug!(target:% = target.id; "limit of a target can't be read");
         }
         let mut intake = self.intake.lock();
-        if !intake.answered(self.clock.now(), target, sent, said) {
+        if !intake.record_answer(self.clock.now(), target, sent, said) {
             return;
         }
         let limit = intake.limit(&target.id);
@@ -35,7 +35,7 @@
 
     /// Targets that name a limit.
     pub(crate) fn limited_targets(&self) -> usize {
-        self.intake.lock().limited()
+        self.intake.lock().limited_count()
     }
 
     /// Notes how many entries are alive, among which limits hold.
@@ -110,28 +110,28 @@
             }));
         }
         named?;
-        self.intake.lock().word(now, target).map(Question::Send)
+        self.intake.lock().to_update(now, target).map(Question::Send)
     }
 
     /// What others should hear of.
     pub(crate) fn take_limits(&self) -> Vec<Update> {
-        self.intake.lock().take_news(self.clock.now())
+        self.intake.lock().take_updates(self.clock.now())
     }
 
     /// What an entry is told when its link opens.
     pub(crate) fn all_limits(&self) -> Vec<Update> {
-        self.intake.lock().all(self.clock.now())
+        self.intake.lock().all_updates(self.clock.now())
     }
 
     /// Takes in words of another entry; returns those that were news.
     pub(crate) fn hear_limits(&self, words: Vec<Update>) -> Vec<Update> {
-        self.intake.lock().hear(self.clock.now(), words)
+        self.intake.lock().apply(self.clock.now(), words)
     }
 
     /// Forgets what targets said that are listed no more.
     pub(super) fn keep_limits(&self, leases: &Leases) {
         let mut intake = self.intake.lock();
-        intake.keep(|id| leases.get(id));
+        intake.retain(|id| leases.get(id));
         self.keeper.lock().keep(|target| leases.get(target).is_some());
     }
 }
--- a/crates/policy/src/target_limit.rs
+++ b/crates/policy/src/target_limit.rs
@@ -16,10 +16,10 @@
 use crate::unit::RequestRate;
 
 /// A larger limit is none.
-const MOST: f64 = 1e6;
+const MAX_LIMIT_PER_SECOND: f64 = 1e6;
 
 /// By which part a limit must have changed for the others to be told.
-const NEWS: f64 = 0.1;
+const ANNOUNCE_THRESHOLD: f64 = 0.1;
 
 /// What one answer says of its target's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -37,7 +37,7 @@
     /// Reads a limit as it is named.
     pub fn parse(text: &str) -> Self {
         match RequestRate::from_str(text.trim()) {
-            Ok(rate) if (0.0..=MOST).contains(&rate.get()) => Self::Limit(rate),
+            Ok(rate) if (0.0..=MAX_LIMIT_PER_SECOND).contains(&rate.get()) => Self::Limit(rate),
             _ => Self::Invalid,
         }
     }
@@ -59,19 +59,19 @@
 
 /// What one target said last.
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct Record {
     start: Option<Start>,
     limit: Option<RequestRate>,
-    at: Time,
+    advertised_at: Time,
     /// What the others were last told.
-    told: Option<RequestRate>,
+    announced: Option<RequestRate>,
 }
 
 /// Limits that targets have named.
 #[derive(Debug, Default)]
 pub struct Limits {
-    named: HashMap<id::Target, Named>,
-    news: Vec<id::Target>,
+    records: HashMap<id::Target, Record>,
+    pending: Vec<id::Target>,
 }
 
 impl Limits {
@@ -80,105 +80,117 @@
     ///
     /// An answer without a limit lifts one only where its request was sent after that was named:
     /// answers overtake each other.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Time,
         target: &Target,
-        sent: Time,
-        said: Advertisement,
+        sent_at: Time,
+        advertised: Advertisement,
     ) -> bool {
-        let known = self.named.get(&target.id).filter(|named| !is_older(named.start, target.start));
-        let limit = match (said, known) {
+        let known = self
+            .records
+            .get(&target.id)
+            .filter(|record| !is_earlier_start(record.start, target.start));
+        let limit = match (advertised, known) {
             (Advertisement::Invalid, _) | (Advertisement::Absent, None) => return false,
-            (Advertisement::Absent, Some(known)) if known.limit.is_none() || sent <= known.at => {
+            (Advertisement::Absent, Some(known))
+                if known.limit.is_none() || sent_at <= known.advertised_at =>
+            {
                 return false;
             }
             (Advertisement::Absent, Some(_)) => None,
             (Advertisement::Limit(rate), _) => Some(rate),
         };
         let before = known.and_then(|known| known.limit);
-        let told = known.and_then(|known| known.told);
-        let named = Named { start: target.start, limit, at: now, told };
-        self.named.insert(target.id.clone(), named);
-        if is_news(told, limit) && !self.news.contains(&target.id) {
-            self.news.push(target.id.clone());
+        let announced = known.and_then(|known| known.announced);
+        let record = Record { start: target.start, limit, advertised_at: now, announced };
+        self.records.insert(target.id.clone(), record);
+        if should_announce(announced, limit) && !self.pending.contains(&target.id) {
+            self.pending.push(target.id.clone());
         }
         before != limit
     }
 
     /// Takes in what another entry heard; returns the words that were news.
-    pub fn hear(&mut self, now: Time, words: Vec<Update>) -> Vec<Update> {
-        words.into_iter().filter(|word| self.take(now, word)).collect()
+    pub fn apply(&mut self, now: Time, updates: Vec<Update>) -> Vec<Update> {
+        updates.into_iter().filter(|update| self.apply_one(now, update)).collect()
     }
 
-    fn take(&mut self, now: Time, word: &Update) -> bool {
-        let at = now - Duration::from_millis(word.age_ms);
-        if let Some(known) = self.named.get(&word.target) {
-            let later = is_older(word.start, known.start);
-            let older = !is_older(known.start, word.start) && at <= known.at;
-            if later || older {
+    fn apply_one(&mut self, now: Time, update: &Update) -> bool {
+        let advertised_at = now - Duration::from_millis(update.age_ms);
+        if let Some(known) = self.records.get(&update.target) {
+            let from_earlier_start = is_earlier_start(update.start, known.start);
+            let outdated = !is_earlier_start(known.start, update.start)
+                && advertised_at <= known.advertised_at;
+            if from_earlier_start || outdated {
                 return false;
             }
         }
-        let before = self.limit(&word.target);
-        let named = Named { start: word.start, limit: word.limit, at, told: word.limit };
-        self.named.insert(word.target.clone(), named);
-        is_news(before, word.limit)
+        let before = self.limit(&update.target);
+        let record = Record {
+            start: update.start,
+            limit: update.limit,
+            advertised_at,
+            announced: update.limit,
+        };
+        self.records.insert(update.target.clone(), record);
+        should_announce(before, update.limit)
     }
 
     /// What a target takes, where it names a limit.
     pub fn limit(&self, target: &id::Target) -> Option<RequestRate> {
-        self.named.get(target)?.limit
+        self.records.get(target)?.limit
     }
 
     /// Targets that name a limit.
-    pub fn limited(&self) -> usize {
-        self.named.values().filter(|named| named.limit.is_some()).count()
+    pub fn limited_count(&self) -> usize {
+        self.records.values().filter(|record| record.limit.is_some()).count()
     }
 
     /// Forgets targets that are listed no more, and what earlier starts of others said.
-    pub fn keep<'a>(&mut self, listed: impl Fn(&id::Target) -> Option<&'a Target>) {
-        self.named.retain(|id, named| {
-            listed(id).is_some_and(|target| !is_older(named.start, target.start))
+    pub fn retain<'a>(&mut self, listed: impl Fn(&id::Target) -> Option<&'a Target>) {
+        self.records.retain(|id, record| {
+            listed(id).is_some_and(|target| !is_earlier_start(record.start, target.start))
         });
     }
 
     /// What others should hear of since this was last asked.
-    pub fn take_news(&mut self, now: Time) -> Vec<Update> {
-        let news = std::mem::take(&mut self.news);
-        for target in &news {
-            if let Some(named) = self.named.get_mut(target) {
-                named.told = named.limit;
+    pub fn take_updates(&mut self, now: Time) -> Vec<Update> {
+        let pending = std::mem::take(&mut self.pending);
+        for target in &pending {
+            if let Some(record) = self.records.get_mut(target) {
+                record.announced = record.limit;
             }
         }
-        news.iter().filter_map(|target| self.word(now, target)).collect()
+        pending.iter().filter_map(|target| self.to_update(now, target)).collect()
     }
 
     /// All limits that are named, for an entry that knows none.
-    pub fn all(&self, now: Time) -> Vec<Update> {
-        let limited = self.named.iter().filter(|(_, named)| named.limit.is_some());
-        limited.filter_map(|(target, _)| self.word(now, target)).collect()
+    pub fn all_updates(&self, now: Time) -> Vec<Update> {
+        let limited = self.records.iter().filter(|(_, record)| record.limit.is_some());
+        limited.filter_map(|(target, _)| self.to_update(now, target)).collect()
     }
 
     /// What is known of one target.
-    pub fn word(&self, now: Time, target: &id::Target) -> Option<Update> {
-        let named = self.named.get(target)?;
-        let age_ms = u64::try_from(now.since(named.at).as_millis()).unwrap_or(u64::MAX);
-        Some(Update { target: target.clone(), start: named.start, limit: named.limit, age_ms })
+    pub fn to_update(&self, now: Time, target: &id::Target) -> Option<Update> {
+        let record = self.records.get(target)?;
+        let age_ms = u64::try_from(now.since(record.advertised_at).as_millis()).unwrap_or(u64::MAX);
+        Some(Update { target: target.clone(), start: record.start, limit: record.limit, age_ms })
     }
 }
 
 /// Whether one start is known to be before another.
-fn is_older(one: Option<Start>, other: Option<Start>) -> bool {
+fn is_earlier_start(one: Option<Start>, other: Option<Start>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one < other)
 }
 
 /// Whether a limit differs so much from what was told that others should hear of it.
-fn is_news(told: Option<RequestRate>, limit: Option<RequestRate>) -> bool {
-    match (told, limit) {
-        (Some(told), Some(limit)) => {
-            (told.get() - limit.get()).abs() > NEWS * told.get().max(limit.get())
+fn should_announce(announced: Option<RequestRate>, limit: Option<RequestRate>) -> bool {
+    match (announced, limit) {
+        (Some(announced), Some(limit)) => {
+            (announced.get() - limit.get()).abs()
+                > ANNOUNCE_THRESHOLD * announced.get().max(limit.get())
         }
-        (told, limit) => told.is_some() != limit.is_some(),
+        (announced, limit) => announced.is_some() != limit.is_some(),
     }
 }
--- a/crates/policy/tests/support/limited_fleet.rs
+++ b/crates/policy/tests/support/limited_fleet.rs
@@ -115,7 +115,7 @@
 
 #[derive(Debug, Default)]
 struct Member {
-    book: Limits,
+    limits: Limits,
     keeper: Buckets,
     closed: Time,
     up: bool,
@@ -182,14 +182,15 @@
             Trouble::Restarts if second.is_multiple_of(2) => {
                 let keeper = self.keeper(0);
                 self.members[keeper] = Member { up: true, ..Member::default() };
-                let known = self.members[(keeper + 1) % self.plan.members].book.all(self.now);
-                self.members[keeper].book.hear(self.now, known);
+                let known =
+                    self.members[(keeper + 1) % self.plan.members].limits.all_updates(self.now);
+                self.members[keeper].limits.apply(self.now, known);
             }
             Trouble::Joins => {
                 if let Some(nth) = self.members.iter().position(|member| !member.up) {
-                    let known = self.members[0].book.all(self.now);
+                    let known = self.members[0].limits.all_updates(self.now);
                     self.members[nth].up = true;
-                    self.members[nth].book.hear(self.now, known);
+                    self.members[nth].limits.apply(self.now, known);
                 }
             }
             _ => {}
@@ -222,7 +223,7 @@
             Event::Ask { member } => {
                 if self.members[member].closed > self.now {
                     self.seen.elsewhere += 1;
-                } else if self.members[member].book.limit(&id).is_some() {
+                } else if self.members[member].limits.limit(&id).is_some() {
                     self.at(WAY, Event::Decide { member });
                 } else {
                     self.at(WAY, Event::Arrive { member, sent: self.now });
@@ -238,14 +239,14 @@
                 let rate = |limit: u64| Advertisement::Limit(RequestRate::new(limit as f64 / 1e3));
                 let said = limit.map_or(Advertisement::Absent, rate);
                 let target = self.target.clone();
-                self.members[member].book.answered(self.now, &target, sent, said);
+                self.members[member].limits.record_answer(self.now, &target, sent, said);
                 self.at(TOLD, Event::Flush { member });
             }
             Event::Flush { member } => {
-                let news = self.members[member].book.take_news(self.now);
+                let news = self.members[member].limits.take_updates(self.now);
                 for other in 0..if news.is_empty() { 0 } else { self.plan.members } {
                     if other != member && self.reaches(member, other) {
-                        self.members[other].book.hear(self.now, news.clone());
+                        self.members[other].limits.apply(self.now, news.clone());
                     }
                 }
             }
@@ -254,10 +255,10 @@
 
     fn decide(&mut self, member: usize) {
         let (id, keeper, now) = (self.target.id.clone(), self.keeper(member), self.now);
-        let word = self.members[member].book.word(now, &id);
+        let word = self.members[member].limits.to_update(now, &id);
         let decides = &mut self.members[keeper];
-        decides.book.hear(now, word.into_iter().collect());
-        let wait = decides.book.limit(&id).and_then(|limit| {
+        decides.limits.apply(now, word.into_iter().collect());
+        let wait = decides.limits.limit(&id).and_then(|limit| {
             let allowance = Allowance { named: Some(limit), cold: None };
             decides.keeper.try_send(now, &id, &allowance)
         });
--- a/crates/policy/tests/target_limit.rs
+++ b/crates/policy/tests/target_limit.rs
@@ -103,12 +103,12 @@
 /// Guards against an answer that was overtaken lifting a limit that is in force.
 #[test]
 fn an_older_answer_lifts_nothing() {
-    let (mut book, target) = (Limits::default(), target("t-1", None));
-    assert!(book.answered(at(100), &target, at(50), rate(5.0)));
-    assert!(!book.answered(at(110), &target, at(40), Advertisement::Absent));
-    assert_eq!(book.limit(&target.id), Some(RequestRate::new(5.0)));
-    assert!(book.answered(at(200), &target, at(150), Advertisement::Absent));
-    assert_eq!(book.limit(&target.id), None);
+    let (mut limits, target) = (Limits::default(), target("t-1", None));
+    assert!(limits.record_answer(at(100), &target, at(50), rate(5.0)));
+    assert!(!limits.record_answer(at(110), &target, at(40), Advertisement::Absent));
+    assert_eq!(limits.limit(&target.id), Some(RequestRate::new(5.0)));
+    assert!(limits.record_answer(at(200), &target, at(150), Advertisement::Absent));
+    assert_eq!(limits.limit(&target.id), None);
 }
 
 /// Guards against what cannot be read ending a limit or naming one.
@@ -121,40 +121,40 @@
     empty = { "" },
 )]
 fn what_cannot_be_read_says_nothing(text: &str) {
-    let (mut book, target) = (Limits::default(), target("t-1", None));
+    let (mut limits, target) = (Limits::default(), target("t-1", None));
     assert_eq!(Advertisement::parse(text), Advertisement::Invalid);
-    assert!(!book.answered(at(10), &target, at(5), Advertisement::parse(text)));
-    book.answered(at(100), &target, at(50), rate(5.0));
-    assert!(!book.answered(at(200), &target, at(150), Advertisement::parse(text)));
-    assert_eq!(book.limit(&target.id), Some(RequestRate::new(5.0)));
+    assert!(!limits.record_answer(at(10), &target, at(5), Advertisement::parse(text)));
+    limits.record_answer(at(100), &target, at(50), rate(5.0));
+    assert!(!limits.record_answer(at(200), &target, at(150), Advertisement::parse(text)));
+    assert_eq!(limits.limit(&target.id), Some(RequestRate::new(5.0)));
 }
 
 /// Guards against a target that started again being held to what it said before.
 #[test]
 fn a_restart_names_no_limit() {
-    let (mut book, old) = (Limits::default(), target("t-1", Some(1)));
+    let (mut limits, old) = (Limits::default(), target("t-1", Some(1)));
     let new = target("t-1", Some(2));
-    book.answered(at(100), &old, at(50), rate(5.0));
-    book.keep(|_| Some(&new));
-    assert_eq!(book.limit(&old.id), None);
+    limits.record_answer(at(100), &old, at(50), rate(5.0));
+    limits.retain(|_| Some(&new));
+    assert_eq!(limits.limit(&old.id), None);
     // What others heard of the old start comes later.
     let mut other = Limits::default();
-    other.answered(at(100), &old, at(50), rate(5.0));
-    book.answered(at(200), &new, at(150), rate(9.0));
-    book.hear(at(300), other.take_news(at(100)));
-    assert_eq!(book.limit(&new.id), Some(RequestRate::new(9.0)));
+    other.record_answer(at(100), &old, at(50), rate(5.0));
+    limits.record_answer(at(200), &new, at(150), rate(9.0));
+    limits.apply(at(300), other.take_updates(at(100)));
+    assert_eq!(limits.limit(&new.id), Some(RequestRate::new(9.0)));
 }
 
 /// Guards against the word of an entry that heard nothing since overruling a newer one.
 #[test]
 fn the_latest_word_counts() {
-    let (mut book, target) = (Limits::default(), target("t-1", None));
+    let (mut limits, target) = (Limits::default(), target("t-1", None));
     let mut other = Limits::default();
-    other.answered(at(100), &target, at(90), rate(5.0));
-    book.answered(at(400), &target, at(390), rate(2.0));
-    book.hear(at(500), other.all(at(500)));
-    assert_eq!(book.limit(&target.id), Some(RequestRate::new(2.0)));
-    other.hear(at(500), book.all(at(500)));
+    other.record_answer(at(100), &target, at(90), rate(5.0));
+    limits.record_answer(at(400), &target, at(390), rate(2.0));
+    limits.apply(at(500), other.all_updates(at(500)));
+    assert_eq!(limits.limit(&target.id), Some(RequestRate::new(2.0)));
+    other.apply(at(500), limits.all_updates(at(500)));
     assert_eq!(other.limit(&target.id), Some(RequestRate::new(2.0)));
 }
 
