--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -53,12 +53,12 @@
     }
 
     /// What a target may get while it is cold; `None` where its service sets no bound.
-    fn cold_terms(&self, id: &id::Target) -> Option<cold::Terms> {
+    fn cold_terms(&self, id: &id::Target) -> Option<cold::Limit> {
         let service = self.leases.lock().get(id)?.service.clone();
         let warmup = self.table()?.service(&service)?.warmup?;
         let bounds = self.bounds();
         let (excess, margin) = (bounds.cold_excess, bounds.cold_margin);
-        Some(cold::Terms { per_s: warmup.per_s, excess, margin })
+        Some(cold::Limit { per_s: warmup.per_s, excess, margin })
     }
 
     /// What a target takes now.
@@ -68,7 +68,7 @@
             Duration::ZERO => None,
             _ => self.cold_terms(target),
         };
-        Allowance { named, cold }
+        Allowance { advertised: named, cold }
     }
 
     /// Targets that are cold.
@@ -99,7 +99,7 @@
     /// all that comes.
     pub(crate) fn question(&self, target: &id::Target) -> Option<Question> {
         let now = self.clock.now();
-        let Allowance { named, cold } = self.allowance(target);
+        let Allowance { advertised: named, cold } = self.allowance(target);
         if cold.is_some() {
             let start = self.leases.lock().get(target)?.start;
             let left = millis(self.cold_left(target));
@@ -132,6 +132,6 @@
     pub(super) fn keep_limits(&self, leases: &Leases) {
         let mut intake = self.intake.lock();
         intake.retain(|id| leases.get(id));
-        self.keeper.lock().keep(|target| leases.get(target).is_some());
+        self.keeper.lock().retain(|target| leases.get(target).is_some());
     }
 }
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -116,7 +116,7 @@
             refused: Mutex::default(),
             poison: Poison::default(),
             intake: Mutex::default(),
-            keeper: Mutex::new(Buckets::settled_from(Time::ZERO + SETTLED)),
+            keeper: Mutex::new(Buckets::with_membership_known_at(Time::ZERO + SETTLED)),
             others: Mutex::default(),
             targets: watch::channel(0).0,
             sent: Notify::new(),
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -24,7 +24,7 @@
 
 /// What a cold target may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Limit {
     /// Requests a second that it takes.
     pub per_s: RequestRate,
     /// How many times that it may get in one second.
@@ -33,9 +33,9 @@
     pub margin: f64,
 }
 
-impl Terms {
+impl Limit {
     /// The most requests that it may get in any second.
-    pub fn most(&self) -> f64 {
+    pub fn max_per_second(&self) -> f64 {
         (self.per_s.get() * self.excess + self.margin).max(0.0).floor()
     }
 }
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -13,84 +13,87 @@
 
 /// Requests a second that are sent to a target that takes none: one now and then shows when it takes
 /// some again.
-const LEAST: f64 = 0.2;
+const MIN_REQUESTS_PER_SECOND: f64 = 0.2;
 
 /// Requests that a target may get at once after it has got fewer than it takes, and the time whose
 /// requests may come on top.
-const SAVED: (f64, f64) = (1.0, 0.5);
+const BURST_REQUESTS: f64 = 1.0;
+
+/// The time whose requests may come on top of [`BURST_REQUESTS`].
+const BURST_SECONDS: f64 = 0.5;
 
 /// The longest that an entry stays away from a target before it asks again.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// For how long entries that were alive count among those that may be sending: as long as failure
 /// domains lose each other.
-const SENDING: Duration = Duration::from_secs(300);
+const PARTITION_WINDOW: Duration = Duration::from_secs(300);
 
 /// What both halves of a fleet that can't reach each other may send together, in limits.
-const HALVES: f64 = 1.3;
+const PARTITION_FACTOR: f64 = 1.3;
 
 /// What the seconds of a bucket and of its target may differ by, as a part of the most in a second: requests
 /// take unlike long from the entry that decides to the target.
-const JITTER: f64 = 0.1;
+const JITTER_RATIO: f64 = 0.1;
 
 /// The part of the most in a second at which requests may follow each other, where a bucket holds one only.
-const SPACED: f64 = 0.85;
+const MAX_REFILL_RATIO: f64 = 0.85;
 
 /// A rate at which nothing is sent.
-const NEVER: f64 = 1e-9;
+const MIN_DIVISOR: f64 = 1e-9;
 
 /// What a target takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Allowance {
     /// The limit that it names.
-    pub named: Option<RequestRate>,
+    pub advertised: Option<RequestRate>,
     /// What it may get because it is cold.
-    pub cold: Option<cold::Terms>,
+    pub cold: Option<cold::Limit>,
 }
 
 /// How a bucket fills.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct Refill {
     /// Requests a second.
     rate: f64,
     /// Requests that it holds at most.
-    saved: f64,
+    burst: f64,
 }
 
 /// What may still be sent to one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     tokens: f64,
-    filled: Time,
+    filled_at: Time,
     /// Requests that were told to come back and have not.
-    promised: f64,
+    deferred: f64,
 }
 
 impl Bucket {
-    fn open(now: Time) -> Self {
-        Self { filled: now, ..Self::default() }
+    fn new(now: Time) -> Self {
+        Self { filled_at: now, ..Self::default() }
     }
 
-    fn fill(&mut self, now: Time, pace: Pace) {
-        let earned = pace.rate * now.since(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + earned).min(pace.saved);
-        self.promised = (self.promised - earned).max(0.0);
-        self.filled = now;
+    fn add_tokens(&mut self, now: Time, refill: Refill) {
+        let earned = refill.rate * now.since(self.filled_at).as_secs_f64();
+        self.tokens = (self.tokens + earned).min(refill.burst);
+        self.deferred = (self.deferred - earned).max(0.0);
+        self.filled_at = now;
     }
 
     /// Takes one, or says when to ask again; those that are told so come one after the other.
-    fn take(&mut self, now: Time, pace: Pace) -> Option<Duration> {
-        self.fill(now, pace);
+    fn try_take(&mut self, now: Time, refill: Refill) -> Option<Duration> {
+        self.add_tokens(now, refill);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return None;
         }
-        let wait = (1.0 - self.tokens + self.promised) / pace.rate.max(NEVER);
+        let wait = (1.0 - self.tokens + self.deferred) / refill.rate.max(MIN_DIVISOR);
         // Below one a second one promise alone would outlast the longest wait.
-        if pace.rate > 1.0 {
-            self.promised += 1.0;
+        if refill.rate > 1.0 {
+            self.deferred += 1.0;
         }
-        Some(Duration::from_secs_f64(wait.min(LONGEST.as_secs_f64())))
+        Some(Duration::from_secs_f64(wait.min(MAX_WAIT.as_secs_f64())))
     }
 }
 
@@ -103,63 +106,65 @@
 pub struct Buckets {
     buckets: HashMap<id::Target, Bucket>,
     /// How many entries were alive, and since when, the earliest first.
-    alive: VecDeque<(Time, usize)>,
+    alive_counts: VecDeque<(Time, usize)>,
     /// From when it knows the other entries.
-    settled: Time,
+    membership_known_at: Time,
 }
 
 impl Buckets {
     /// The keeper of an entry that knows the others from a time on. Before, each of several that start
     /// together would decide for all, so it lets nothing through to targets that crash above a bound.
-    pub fn settled_from(settled: Time) -> Self {
-        Self { settled, ..Self::default() }
+    pub fn with_membership_known_at(membership_known_at: Time) -> Self {
+        Self { membership_known_at, ..Self::default() }
     }
 
     /// Notes how many entries are alive.
     pub fn set_alive(&mut self, now: Time, count: usize) {
-        if self.alive.back().is_none_or(|(_, last)| *last != count) {
-            self.alive.push_back((now, count));
+        if self.alive_counts.back().is_none_or(|(_, last)| *last != count) {
+            self.alive_counts.push_back((now, count));
         }
         // Each count lasts until the next one.
-        while self.alive.get(1).is_some_and(|(next, _)| now.since(*next) >= SENDING) {
-            self.alive.pop_front();
+        while self.alive_counts.get(1).is_some_and(|(next, _)| now.since(*next) >= PARTITION_WINDOW)
+        {
+            self.alive_counts.pop_front();
         }
     }
 
     /// The part of the entries that this side has.
-    fn part(&self) -> f64 {
-        let now = self.alive.back().map_or(1, |(_, count)| *count);
-        let most = self.alive.iter().map(|(_, count)| *count).max().unwrap_or(1);
-        now as f64 / most.max(1) as f64
+    fn fleet_fraction(&self) -> f64 {
+        let current = self.alive_counts.back().map_or(1, |(_, count)| *count);
+        let peak = self.alive_counts.iter().map(|(_, count)| *count).max().unwrap_or(1);
+        current as f64 / peak.max(1) as f64
     }
 
-    fn named(&self, limit: RequestRate) -> Pace {
-        let rate = (limit.get() * (HALVES * self.part()).min(1.0)).max(LEAST);
-        Pace { rate, saved: SAVED.0 + SAVED.1 * rate }
+    fn advertised_refill(&self, limit: RequestRate) -> Refill {
+        let rate = (limit.get() * (PARTITION_FACTOR * self.fleet_fraction()).min(1.0))
+            .max(MIN_REQUESTS_PER_SECOND);
+        Refill { rate, burst: BURST_REQUESTS + BURST_SECONDS * rate }
     }
 
     /// A target that is cold crashes above its bound, so both halves of a fleet together must keep it: of a
     /// bound too small to be divided the larger half has one request.
-    fn cold(&self, now: Time, terms: &cold::Terms) -> Pace {
-        let part = self.part();
-        let shared = (terms.most() * part).floor();
-        let most = if part > 0.5 { shared.max(terms.most().min(1.0)) } else { shared };
-        if most < 1.0 || now < self.settled {
-            return Pace { rate: 0.0, saved: 0.0 };
+    fn cold_refill(&self, now: Time, limit: &cold::Limit) -> Refill {
+        let fraction = self.fleet_fraction();
+        let shared = (limit.max_per_second() * fraction).floor();
+        let max = if fraction > 0.5 { shared.max(limit.max_per_second().min(1.0)) } else { shared };
+        if max < 1.0 || now < self.membership_known_at {
+            return Refill { rate: 0.0, burst: 0.0 };
         }
-        let rate = (terms.per_s.get() * part).min(SPACED * most);
-        let spare = (1.0 - JITTER) * most - rate;
-        Pace { rate, saved: (SAVED.0 + SAVED.1 * rate).min(spare).max(1.0) }
+        let rate = (limit.per_s.get() * fraction).min(MAX_REFILL_RATIO * max);
+        let spare = (1.0 - JITTER_RATIO) * max - rate;
+        Refill { rate, burst: (BURST_REQUESTS + BURST_SECONDS * rate).min(spare).max(1.0) }
     }
 
-    fn pace(&self, now: Time, allowance: &Allowance) -> Option<Pace> {
-        let named = allowance.named.map(|limit| self.named(limit));
-        let cold = allowance.cold.map(|terms| self.cold(now, &terms));
+    fn refill(&self, now: Time, allowance: &Allowance) -> Option<Refill> {
+        let advertised = allowance.advertised.map(|limit| self.advertised_refill(limit));
+        let cold = allowance.cold.map(|limit| self.cold_refill(now, &limit));
         let stricter =
-            |a: Pace, b: Pace| Pace { rate: a.rate.min(b.rate), saved: a.saved.min(b.saved) };
-        match (named, cold) {
-            (Some(named), Some(cold)) => Some(stricter(named, cold)),
-            (named, cold) => named.or(cold),
+            |a: Refill, b: Refill| Refill { rate: a.rate.min(b.rate), burst: a.burst.min(b.burst) };
+        match (advertised, cold) {
+            (Some(advertised), Some(cold)) => Some(stricter(advertised, cold)),
+            (advertised, cold) => advertised.or(cold),
         }
     }
 
@@ -170,24 +175,24 @@
         target: &id::Target,
         allowance: &Allowance,
     ) -> Option<Duration> {
-        let pace = self.pace(now, allowance)?;
-        self.bucket(now, target).take(now, pace)
+        let refill = self.refill(now, allowance)?;
+        self.bucket(now, target).try_take(now, refill)
     }
 
     /// Counts a request that is sent in any case.
     pub fn spend(&mut self, now: Time, target: &id::Target, allowance: &Allowance) {
-        let Some(pace) = self.pace(now, allowance) else { return };
+        let Some(refill) = self.refill(now, allowance) else { return };
         let bucket = self.bucket(now, target);
-        bucket.fill(now, pace);
+        bucket.add_tokens(now, refill);
         bucket.tokens -= 1.0;
     }
 
     fn bucket(&mut self, now: Time, target: &id::Target) -> &mut Bucket {
-        self.buckets.entry(target.clone()).or_insert_with(|| Bucket::open(now))
+        self.buckets.entry(target.clone()).or_insert_with(|| Bucket::new(now))
     }
 
     /// Forgets targets that take all that comes.
-    pub fn keep(&mut self, limited: impl Fn(&id::Target) -> bool) {
-        self.buckets.retain(|target, _| limited(target));
+    pub fn retain(&mut self, is_limited: impl Fn(&id::Target) -> bool) {
+        self.buckets.retain(|target, _| is_limited(target));
     }
 }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cold_fleet::{Plan, Traffic, Trouble, Way, World};
-use fireflyhoist_policy::cold::{Terms, Update};
+use fireflyhoist_policy::cold::{Limit, Update};
 use fireflyhoist_policy::lease::{Change, Leases, Start, State, Target};
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::time::Time;
@@ -109,8 +109,8 @@
 /// Guards against a target that may get nothing being tried now and then.
 #[test]
 fn a_bound_below_one_request_lets_none_through() {
-    let terms = Terms { per_s: RequestRate::new(0.2), excess: 1.5, margin: 0.0 };
-    let allowance = Allowance { named: None, cold: Some(terms) };
+    let terms = Limit { per_s: RequestRate::new(0.2), excess: 1.5, margin: 0.0 };
+    let allowance = Allowance { advertised: None, cold: Some(terms) };
     let mut keeper = Buckets::default();
     let id = target(0, 1, 1).id;
     let granted = (0..600).filter(|s| keeper.try_send(at(s * 100), &id, &allowance).is_none());
@@ -121,9 +121,9 @@
 #[test]
 fn of_two_bounds_the_stricter_holds() {
     let id = target(0, 1, 1).id;
-    let cold = Terms { per_s: RequestRate::new(1.0), excess: 1.5, margin: 0.0 };
-    for (named, cold) in [(Some(50.0), cold), (Some(1.0), Terms { margin: 50.0, ..cold })] {
-        let allowance = Allowance { named: named.map(RequestRate::new), cold: Some(cold) };
+    let cold = Limit { per_s: RequestRate::new(1.0), excess: 1.5, margin: 0.0 };
+    for (named, cold) in [(Some(50.0), cold), (Some(1.0), Limit { margin: 50.0, ..cold })] {
+        let allowance = Allowance { advertised: named.map(RequestRate::new), cold: Some(cold) };
         let mut keeper = Buckets::default();
         let mut granted = 0;
         for ms in 0..10_000 {
--- a/crates/policy/tests/support/cold_fleet.rs
+++ b/crates/policy/tests/support/cold_fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use fireflyhoist_policy::cold::Terms;
+use fireflyhoist_policy::cold::Limit;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::rendezvous;
 use fireflyhoist_policy::time::Time;
@@ -219,9 +219,9 @@
         }
     }
 
-    fn terms(&self) -> Terms {
+    fn cold_limit(&self) -> Limit {
         let Plan { per_s, excess, margin, .. } = self.plan;
-        Terms { per_s: RequestRate::new(per_s), excess, margin }
+        Limit { per_s: RequestRate::new(per_s), excess, margin }
     }
 
     fn ask(&mut self, member: usize, asked: Time) {
@@ -267,7 +267,7 @@
     }
 
     fn decide(&mut self, member: usize, target: usize, asked: Time, keeper: usize) {
-        let allowance = Allowance { named: None, cold: Some(self.terms()) };
+        let allowance = Allowance { advertised: None, cold: Some(self.cold_limit()) };
         let (now, id) = (self.now, self.targets[target].clone());
         let way = if keeper == member { Duration::ZERO } else { WAY };
         match self.members[keeper].keeper.try_send(now, &id, &allowance) {
--- a/crates/policy/tests/support/limited_fleet.rs
+++ b/crates/policy/tests/support/limited_fleet.rs
@@ -259,7 +259,7 @@
         let decides = &mut self.members[keeper];
         decides.limits.apply(now, word.into_iter().collect());
         let wait = decides.limits.limit(&id).and_then(|limit| {
-            let allowance = Allowance { named: Some(limit), cold: None };
+            let allowance = Allowance { advertised: Some(limit), cold: None };
             decides.keeper.try_send(now, &id, &allowance)
         });
         match wait {
--- a/crates/policy/tests/target_limit.rs
+++ b/crates/policy/tests/target_limit.rs
@@ -162,7 +162,7 @@
 #[test]
 fn those_sent_away_come_back_one_after_the_other() {
     let (mut keeper, target) = (Buckets::default(), target("t-1", None));
-    let allowance = Allowance { named: Some(RequestRate::new(10.0)), cold: None };
+    let allowance = Allowance { advertised: Some(RequestRate::new(10.0)), cold: None };
     let waits: Vec<Duration> =
         (0..8).filter_map(|_| keeper.try_send(at(1_000), &target.id, &allowance)).collect();
     assert_eq!(waits.len(), 8);
