--- a/crates/policy/src/workspace_limit.rs
+++ b/crates/policy/src/workspace_limit.rs
@@ -13,7 +13,7 @@
 //!
 //! **Figures.** The first entry has half and the second half of the rest; the others divide what
 //! remains, for callers that have not heard yet. A part shrinks at once and grows by
-//! [`GROWTH`] of the whole limit a second: the host that just left the list may not know it yet
+//! [`MAX_GROWTH_PER_SECOND`] of the whole limit a second: the host that just left the list may not know it yet
 //! and still use its part, and a list that flaps moves little. Until both have read the same list
 //! the sum can exceed the limit by the part of the hosts that differ.
 
@@ -26,16 +26,16 @@
 use crate::unit::{Share, TokenRate, Tokens};
 
 /// How much of the whole limit a part may grow in a second.
-pub const GROWTH: f64 = 0.05;
+pub const MAX_GROWTH_PER_SECOND: f64 = 0.05;
 
 /// How many seconds' worth of tokens may be drawn at once; answers arrive in bursts.
 pub const BURST_SECONDS: f64 = 10.0;
 
 /// When to come back where streams, not tokens, are at the limit: about a short answer's length.
-const STREAM_RETRY: Duration = Duration::from_secs(1);
+const STREAM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The longest wait that a refusal names.
-const LONGEST_RETRY: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// What the operators allow one workspace over all entries; absent means without bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -61,7 +61,7 @@
         let ranked = rendezvous::rank(workspace.as_str(), published, |host| host.as_str());
         match ranked.iter().position(|host| *host == own) {
             Some(rank) => {
-                Self { begin: mark(rank, ranked.len()), end: mark(rank + 1, ranked.len()) }
+                Self { begin: boundary(rank, ranked.len()), end: boundary(rank + 1, ranked.len()) }
             }
             None => Self { begin: 0.0, end: 0.0 },
         }
@@ -76,13 +76,13 @@
     pub fn streams(&self, streams: u32) -> u32 {
         let whole = f64::from(streams);
         // Marks are sums of floats; without the nudge 0.999... of a stream would vanish.
-        let at = |mark: f64| (mark * whole + 1e-6) as u32;
-        at(self.end) - at(self.begin)
+        let streams_below = |boundary: f64| (boundary * whole + 1e-6) as u32;
+        streams_below(self.end) - streams_below(self.begin)
     }
 }
 
 /// Where the part of the entry of this rank begins.
-fn mark(rank: usize, count: usize) -> f64 {
+fn boundary(rank: usize, count: usize) -> f64 {
     match (rank, count) {
         (0, _) => 0.0,
         (rank, count) if rank >= count => 1.0,
@@ -97,45 +97,45 @@
     part: Part,
     /// The share in force, which follows that of the part by bounded steps.
     share: f64,
-    moved: Time,
-    open: u32,
+    share_updated_at: Time,
+    open_streams: u32,
     tokens: f64,
-    filled: Time,
+    filled_at: Time,
 }
 
 impl Account {
     fn advance(&mut self, now: Time) {
-        let wanted = self.part.share().get();
-        let step = GROWTH * now.since(self.moved).as_secs_f64();
-        self.share = (self.share + step).min(wanted);
-        self.moved = now;
+        let target_share = self.part.share().get();
+        let step = MAX_GROWTH_PER_SECOND * now.since(self.share_updated_at).as_secs_f64();
+        self.share = (self.share + step).min(target_share);
+        self.share_updated_at = now;
         if let Some(rate) = self.limit.rate {
             let rate = rate.get() * self.share;
-            let earned = rate * now.since(self.filled).as_secs_f64();
+            let earned = rate * now.since(self.filled_at).as_secs_f64();
             self.tokens = (self.tokens + earned).min(rate * BURST_SECONDS);
         }
-        self.filled = now;
+        self.filled_at = now;
     }
 
-    fn streams(&self) -> Option<u32> {
+    fn stream_limit(&self) -> Option<u32> {
         let whole = self.limit.streams?;
-        let wanted = self.part.share().get();
-        let grown = if wanted > 0.0 { self.share / wanted } else { 0.0 };
-        Some((f64::from(self.part.streams(whole)) * grown + 1e-6) as u32)
+        let target_share = self.part.share().get();
+        let reached = if target_share > 0.0 { self.share / target_share } else { 0.0 };
+        Some((f64::from(self.part.streams(whole)) * reached + 1e-6) as u32)
     }
 
     fn admit(&mut self) -> Result<(), Duration> {
-        if self.streams().is_some_and(|streams| self.open >= streams) {
-            return Err(STREAM_RETRY);
+        if self.stream_limit().is_some_and(|limit| self.open_streams >= limit) {
+            return Err(STREAM_RETRY_AFTER);
         }
         if let Some(rate) = self.limit.rate
             && self.tokens <= 0.0
         {
             let seconds = (1.0 - self.tokens) / (rate.get() * self.share).max(1e-3);
-            let wait = Duration::from_secs_f64(seconds.min(LONGEST_RETRY.as_secs_f64()));
-            return Err(wait.max(STREAM_RETRY));
+            let wait = Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER.as_secs_f64()));
+            return Err(wait.max(STREAM_RETRY_AFTER));
         }
-        self.open += 1;
+        self.open_streams += 1;
         Ok(())
     }
 }
@@ -148,7 +148,7 @@
 
 impl Limits {
     /// Opens without any limit.
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self::default()
     }
 
@@ -159,10 +159,10 @@
             limit,
             part,
             share,
-            moved: now,
-            open: 0,
+            share_updated_at: now,
+            open_streams: 0,
             tokens: limit.rate.map_or(0.0, |rate| rate.get() * share * BURST_SECONDS),
-            filled: now,
+            filled_at: now,
         });
         account.advance(now);
         account.limit = limit;
@@ -193,6 +193,6 @@
     /// Notes that a stream ended.
     pub fn release(&mut self, workspace: &id::Workspace) {
         let Some(account) = self.accounts.get_mut(workspace) else { return };
-        account.open = account.open.saturating_sub(1);
+        account.open_streams = account.open_streams.saturating_sub(1);
     }
 }
--- a/crates/policy/tests/workspace_limit.rs
+++ b/crates/policy/tests/workspace_limit.rs
@@ -17,7 +17,7 @@
 }
 
 fn entry(own: &Host, published: &[Host], limit: Limit) -> Limits {
-    let mut limits = Limits::open();
+    let mut limits = Limits::new();
     limits.set(Time::ZERO, &workspace(), limit, Part::of(&workspace(), own, published));
     limits
 }
