--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -49,7 +49,7 @@
         let leases = self.leases.lock();
         let Some(target) = leases.get(id) else { return Duration::ZERO };
         let settles = self.cordons.lock().settle_remaining(now, &target.domain);
-        leases.cold(now, id).max(settles)
+        leases.cold_remaining(now, id).max(settles)
     }
 
     /// What a target may get while it is cold; `None` where its service sets no bound.
@@ -79,7 +79,7 @@
 
     /// Takes in that a target is cold.
     pub(crate) fn hear_cold(&self, word: &cold::Update) {
-        self.leases.lock().note_cold(self.clock.now(), word);
+        self.leases.lock().apply_cold_update(self.clock.now(), word);
     }
 
     /// Grants a request to a target that takes only so much, or says when to ask again; only for the
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -82,7 +82,7 @@
             self.refuse_older(known, at, source);
             return false;
         }
-        let changed = leases.list(now, at, targets);
+        let changed = leases.apply_list(now, at, targets);
         drop(leases);
         if changed {
             ::log::info!(revision:% = at, listed = count, source = source; "targets listed");
@@ -94,7 +94,7 @@
     /// Takes in single changes of targets; returns those that were news.
     pub(crate) fn change_targets(&self, at: Position, changes: Vec<Change>) -> Vec<Change> {
         let now = self.clock.now();
-        let news = self.leases.lock().changes(now, at, changes);
+        let news = self.leases.lock().apply_changes(now, at, changes);
         for change in &news {
             let line = describe(change);
             ::log::info!(revision:% = at, change = line.as_str(); "target changed");
@@ -109,7 +109,7 @@
     pub(crate) fn target_leaves(&self, target: &id::Target) -> Option<Change> {
         let left = {
             let mut leases = self.leases.lock();
-            leases.leave(target).then(|| leases.get(target).cloned())?
+            leases.mark_draining(target).then(|| leases.get(target).cloned())?
         };
         ::log::info!(target:% = target; "target says that it leaves");
         self.refresh();
@@ -117,7 +117,7 @@
     }
 
     pub(crate) fn outage_over(&self) {
-        self.leases.lock().outage_over(self.clock.now());
+        self.leases.lock().start_grace(self.clock.now());
     }
 
     pub(crate) fn target(&self, id: &id::Target) -> Option<Target> {
@@ -138,7 +138,7 @@
 
     pub(crate) fn targets(&self) -> (Position, Vec<Target>) {
         let leases = self.leases.lock();
-        (leases.position(), leases.listing(self.clock.now()))
+        (leases.position(), leases.snapshot(self.clock.now()))
     }
 
     pub(crate) fn targets_position(&self) -> Position {
--- a/crates/policy/src/cordon.rs
+++ b/crates/policy/src/cordon.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::id;
-use crate::lease::REJOIN;
+use crate::lease::REJOIN_GRACE;
 use crate::position::Position;
 use crate::time::Time;
 
@@ -100,7 +100,7 @@
         let mut new: BTreeMap<id::Domain, Option<Time>> =
             listed.into_iter().take(MAX_DOMAINS).map(|domain| (domain, None)).collect();
         for (domain, until) in &self.domains {
-            let until = if restored { Some(now + REJOIN) } else { *until };
+            let until = if restored { Some(now + REJOIN_GRACE) } else { *until };
             if until.is_some_and(|until| until > now) {
                 new.entry(domain.clone()).or_insert(until);
             }
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -3,7 +3,7 @@
 //! Each target renews an entry in a registry; the entry is its lease. **Failure:** the registry is
 //! away, entries lapse meanwhile although their targets live, and an entry host that believed the
 //! first list after its return would refuse every request with all targets free. **Guard:** after
-//! an outage, what is missing stays usable until [`REJOIN`] has passed, in which live targets are
+//! an outage, what is missing stays usable until [`REJOIN_GRACE`] has passed, in which live targets are
 //! listed again; what is still missing then is gone.
 //!
 //! An outage in which calls hang is noticed by nobody: the watch that waits through it is answered
@@ -36,17 +36,17 @@
 
 /// How long after a registry's return its list may lack live targets. The users' letter gives two
 /// seconds; the rest covers the way of the reading.
-pub const REJOIN: Duration = Duration::from_millis(2_300);
+pub const REJOIN_GRACE: Duration = Duration::from_millis(2_300);
 
 /// How long the name of a target that left is remembered, against older readings that still list
 /// it: longer than any reading is old.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
 /// By how much two readings may differ of when a target stops being cold.
-const COLD_SLACK: Duration = Duration::from_millis(500);
+const COLD_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// The fewest targets that are taken for lapsed together: two may well leave at once.
-const LAPSED_TOGETHER: usize = 3;
+const MASS_LAPSE_MIN_TARGETS: usize = 3;
 
 /// Whether a target takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -101,7 +101,7 @@
 impl Target {
     /// How the start of this reading stands to that of another: greater where it started again
     /// since. Readings that say nothing of it are taken to be of one start.
-    fn started(&self, other: &Self) -> Ordering {
+    fn cmp_start(&self, other: &Self) -> Ordering {
         match (self.start, other.start) {
             (Some(own), Some(theirs)) => own.cmp(&theirs),
             _ => Ordering::Equal,
@@ -110,11 +110,11 @@
 
     /// Whether this target started again since `other` was read.
     pub fn is_restart_of(&self, other: &Self) -> bool {
-        self.started(other) == Ordering::Greater
+        self.cmp_start(other) == Ordering::Greater
     }
 
     /// Whether two readings say the same but for renewals and the time for which it stays cold.
-    fn is_like(&self, other: &Self) -> bool {
+    fn is_equivalent(&self, other: &Self) -> bool {
         let (renewal, cold_ms) = (self.renewal, self.cold_ms);
         *self == Self { renewal, cold_ms, ..other.clone() }
     }
@@ -133,44 +133,44 @@
 /// All targets known, and how far each is to be believed.
 #[derive(Debug, Default)]
 pub struct Leases {
-    live: BTreeMap<id::Target, Entry>,
-    left: BTreeMap<id::Target, Left>,
+    live: BTreeMap<id::Target, Lease>,
+    tombstones: BTreeMap<id::Target, Tombstone>,
     /// Where the view stands.
     position: Position,
     /// Until when entries may be missing unjustly.
-    rejoin: Time,
+    grace_until: Time,
     /// Targets that have started again since this was last asked.
     restarted: Vec<id::Target>,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct Lease {
     target: Target,
     /// Where the reading stood that lacked it, shortly after an outage.
-    doubted: Option<Position>,
+    missing_at: Option<Position>,
     /// Until when it is cold.
-    cold: Time,
+    cold_until: Time,
 }
 
 /// A target that left, as it was last known.
 #[derive(Debug)]
-struct Left {
+struct Tombstone {
     target: Target,
-    since: Time,
+    created_at: Time,
     /// Where the reading stood that lacked it.
     position: Position,
 }
 
-impl Left {
+impl Tombstone {
     /// Whether a reading shows that it lives after all.
-    fn returns(&self, position: Position, read: &Target) -> bool {
-        match read.started(&self.target) {
+    fn is_superseded_by(&self, position: Position, read: &Target) -> bool {
+        match read.cmp_start(&self.target) {
             Ordering::Less => return false,
             Ordering::Greater => return true,
             Ordering::Equal => {}
         }
-        let silent = self.target.state == State::Ready && read.state == State::Ready;
-        silent && position > self.position && read.renewal > self.target.renewal
+        let lapsed = self.target.state == State::Ready && read.state == State::Ready;
+        lapsed && position > self.position && read.renewal > self.target.renewal
     }
 }
 
@@ -181,87 +181,94 @@
     }
 
     /// Notes that the registry answers again after it did not.
-    pub fn outage_over(&mut self, now: Time) {
-        self.rejoin = now + REJOIN;
+    pub fn start_grace(&mut self, now: Time) {
+        self.grace_until = now + REJOIN_GRACE;
     }
 
     /// Takes in one change at a position; returns whether anything is different now. One of an earlier
     /// era says nothing.
-    pub fn change(&mut self, now: Time, position: Position, change: Change) -> bool {
+    pub fn apply_change(&mut self, now: Time, position: Position, change: Change) -> bool {
         if self.position.is_after(position) {
             return false;
         }
         let changed = match change {
             Change::Put(target) => self.put(now, position, target),
-            Change::Gone(id) => self.miss(now, position, &id),
+            Change::Gone(id) => self.mark_missing(now, position, &id),
         };
-        self.note(position, changed)
+        self.advance_position(position, changed)
     }
 
     /// Takes in all changes of one reading; returns those after which anything is different.
-    pub fn changes(&mut self, now: Time, position: Position, changes: Vec<Change>) -> Vec<Change> {
+    pub fn apply_changes(
+        &mut self,
+        now: Time,
+        position: Position,
+        changes: Vec<Change>,
+    ) -> Vec<Change> {
         let gone = changes.iter().filter_map(|change| match change {
             Change::Gone(id) => Some(id),
             Change::Put(_) => None,
         });
         let gone: Vec<&id::Target> = gone.collect();
-        self.doubt_if_most(now, &gone);
-        let news = changes.into_iter().filter(|change| self.change(now, position, change.clone()));
-        news.collect()
+        self.start_grace_if_most_lapsed(now, &gone);
+        let applied =
+            changes.into_iter().filter(|change| self.apply_change(now, position, change.clone()));
+        applied.collect()
     }
 
     /// Takes in a whole list read at `position`; returns whether anything is different now.
     ///
     /// The first list of a later era is of a registry that came back from a copy: what it lacks may have
     /// been written since and is about to be written again.
-    pub fn list(&mut self, now: Time, position: Position, targets: Vec<Target>) -> bool {
+    pub fn apply_list(&mut self, now: Time, position: Position, targets: Vec<Target>) -> bool {
         if position < self.position {
             return false;
         }
         let restored = position.is_after(self.position) && !self.live.is_empty();
         if restored {
-            self.outage_over(now);
+            self.start_grace(now);
         }
         let before = self.position;
         self.position = self.position.max(Position::new(position.era(), 0));
         let listed: BTreeSet<id::Target> = targets.iter().map(|t| t.id.clone()).collect();
         let known = self.live.keys();
         let missing: Vec<id::Target> = known.filter(|id| !listed.contains(id)).cloned().collect();
-        self.doubt_if_most(now, &missing.iter().collect::<Vec<_>>());
+        self.start_grace_if_most_lapsed(now, &missing.iter().collect::<Vec<_>>());
         let mut changed = false;
         for target in targets {
             changed |= self.put(now, position, target);
         }
         for id in missing {
-            changed |= self.miss(now, position, &id);
+            changed |= self.mark_missing(now, position, &id);
         }
-        self.note(position, changed || position.is_after(before))
+        self.advance_position(position, changed || position.is_after(before))
     }
 
     /// Takes a reading for the end of an outage where it lacks most of the targets.
-    fn doubt_if_most(&mut self, now: Time, missing: &[&id::Target]) {
+    fn start_grace_if_most_lapsed(&mut self, now: Time, missing: &[&id::Target]) {
         let ready = |id: &&&id::Target| self.is_ready(id);
         let lapsed = missing.iter().filter(ready).count();
         let all = self.all().filter(|target| target.state == State::Ready).count();
-        if lapsed >= LAPSED_TOGETHER && lapsed * 2 > all {
-            self.outage_over(now);
+        if lapsed >= MASS_LAPSE_MIN_TARGETS && lapsed * 2 > all {
+            self.start_grace(now);
         }
     }
 
     /// Drops what stayed missing; returns whether anything was.
     pub fn expire(&mut self, now: Time) -> bool {
-        self.left.retain(|_, left| now.since(left.since) < REMEMBERED);
-        if now < self.rejoin {
+        self.tombstones.retain(|_, tombstone| now.since(tombstone.created_at) < TOMBSTONE_TTL);
+        if now < self.grace_until {
             return false;
         }
-        let doubted = self.live.iter().filter_map(|(id, entry)| Some((id.clone(), entry.doubted?)));
-        let late: Vec<(id::Target, Position)> = doubted.collect();
-        for (id, position) in &late {
+        let missing =
+            self.live.iter().filter_map(|(id, lease)| Some((id.clone(), lease.missing_at?)));
+        let expired: Vec<(id::Target, Position)> = missing.collect();
+        for (id, position) in &expired {
             self.remove(now, *position, id);
             // Whoever has not read this itself learns from the position that it stands behind.
-            self.note(*position, true);
+            self.advance_position(*position, true);
         }
-        !late.is_empty()
+        !expired.is_empty()
     }
 
     /// The targets that have started again under their names since this was last asked.
@@ -270,64 +277,65 @@
     }
 
     /// Notes that a target itself says that it leaves.
-    pub fn leave(&mut self, id: &id::Target) -> bool {
-        let Some(entry) = self.live.get_mut(id) else { return false };
-        let changed = entry.target.state == State::Ready;
-        entry.target.state = State::Draining;
+    pub fn mark_draining(&mut self, id: &id::Target) -> bool {
+        let Some(lease) = self.live.get_mut(id) else { return false };
+        let changed = lease.target.state == State::Ready;
+        lease.target.state = State::Draining;
         changed
     }
 
     /// A target that is listed, or was a short while ago: it may go on with what it has, and its
     /// answers are still to be taken from it.
     pub fn get(&self, id: &id::Target) -> Option<&Target> {
-        let live = self.live.get(id).map(|entry| &entry.target);
-        live.or_else(|| self.left.get(id).map(|left| &left.target))
+        let live = self.live.get(id).map(|lease| &lease.target);
+        live.or_else(|| self.tombstones.get(id).map(|tombstone| &tombstone.target))
     }
 
     /// Whether a target has ended without saying that it leaves: it is listed no more, or has started
     /// again.
     pub fn has_ended(&self, target: &Target) -> bool {
         match self.live.get(&target.id) {
-            Some(entry) => entry.target.is_restart_of(target),
-            None => self.get(&target.id).is_none_or(|left| left.state != State::Draining),
+            Some(lease) => lease.target.is_restart_of(target),
+            None => self.get(&target.id).is_none_or(|last| last.state != State::Draining),
         }
     }
 
     /// Whether a target takes new work.
     pub fn is_ready(&self, id: &id::Target) -> bool {
-        self.live.get(id).is_some_and(|entry| entry.target.state == State::Ready)
+        self.live.get(id).is_some_and(|lease| lease.target.state == State::Ready)
     }
 
     /// For how long a target is cold still.
-    pub fn cold(&self, now: Time, id: &id::Target) -> Duration {
-        self.live.get(id).map_or(Duration::ZERO, |entry| entry.cold.since(now))
+    pub fn cold_remaining(&self, now: Time, id: &id::Target) -> Duration {
+        self.live.get(id).map_or(Duration::ZERO, |lease| lease.cold_until.since(now))
     }
 
     /// Takes in that a target is cold; returns whether that was not known. What is said of another start
     /// says nothing.
-    pub fn note_cold(&mut self, now: Time, word: &cold::Update) -> bool {
-        let Some(entry) = self.live.get_mut(&word.target) else { return false };
-        let until = now + Duration::from_millis(word.remaining_ms);
-        if entry.target.start != word.start || until <= entry.cold.max(now) + COLD_SLACK {
+    pub fn apply_cold_update(&mut self, now: Time, update: &cold::Update) -> bool {
+        let Some(lease) = self.live.get_mut(&update.target) else { return false };
+        let until = now + Duration::from_millis(update.remaining_ms);
+        if lease.target.start != update.start || until <= lease.cold_until.max(now) + COLD_TOLERANCE
+        {
             return false;
         }
-        entry.cold = until;
+        lease.cold_until = until;
         true
     }
 
     /// All targets as of now, for an entry that knows none.
-    pub fn listing(&self, now: Time) -> Vec<Target> {
-        let left = |entry: &Entry| u64::try_from(entry.cold.since(now).as_millis());
-        let one = |entry: &Entry| Target {
-            cold_ms: left(entry).unwrap_or(u64::MAX),
-            ..entry.target.clone()
+    pub fn snapshot(&self, now: Time) -> Vec<Target> {
+        let remaining_ms = |lease: &Lease| u64::try_from(lease.cold_until.since(now).as_millis());
+        let current = |lease: &Lease| Target {
+            cold_ms: remaining_ms(lease).unwrap_or(u64::MAX),
+            ..lease.target.clone()
         };
-        self.live.values().map(one).collect()
+        self.live.values().map(current).collect()
     }
 
     /// All targets known, those that drain included.
     pub fn all(&self) -> impl Iterator<Item = &Target> {
-        self.live.values().map(|entry| &entry.target)
+        self.live.values().map(|lease| &lease.target)
     }
 
     /// Targets of one service that take new work.
@@ -335,7 +343,7 @@
         self.all().filter(move |t| t.service == *service && t.state == State::Ready)
     }
 
-    fn note(&mut self, position: Position, changed: bool) -> bool {
+    fn advance_position(&mut self, position: Position, changed: bool) -> bool {
         if changed {
             self.position = self.position.max(position);
         }
@@ -343,14 +351,14 @@
     }
 
     fn put(&mut self, now: Time, position: Position, mut target: Target) -> bool {
-        match self.left.get(&target.id) {
-            Some(left) if left.returns(position, &target) => {
-                self.left.remove(&target.id);
+        match self.tombstones.get(&target.id) {
+            Some(tombstone) if tombstone.is_superseded_by(position, &target) => {
+                self.tombstones.remove(&target.id);
             }
             Some(_) => return false,
             None => {}
         }
-        let known = self.live.get(&target.id).map(|entry| &entry.target);
+        let known = self.live.get(&target.id).map(|lease| &lease.target);
         if known.is_some_and(|known| known.is_restart_of(&target)) {
             return false;
         }
@@ -363,26 +371,27 @@
             target.state = State::Draining;
         }
         if target.state == State::Draining && known.is_none() {
-            self.left.insert(target.id.clone(), Left { target, since: now, position });
+            self.tombstones
+                .insert(target.id.clone(), Tombstone { target, created_at: now, position });
             return false;
         }
-        let changed = known.is_none_or(|known| !known.is_like(&target));
+        let changed = known.is_none_or(|known| !known.is_equivalent(&target));
         let renewal = known.map_or(0, |known| known.renewal);
-        let older = target.renewal < renewal;
+        let outdated = target.renewal < renewal;
         target.renewal = target.renewal.max(renewal);
-        let before = self.live.get(&target.id).map_or(Time::ZERO, |entry| entry.cold);
-        let read = now + Duration::from_millis(target.cold_ms);
-        let colder = target.cold_ms > 0 && read > before.max(now) + COLD_SLACK;
-        let cold = if older { before } else { read };
-        self.live.insert(target.id.clone(), Entry { target, doubted: None, cold });
-        changed || colder
+        let before = self.live.get(&target.id).map_or(Time::ZERO, |lease| lease.cold_until);
+        let advertised = now + Duration::from_millis(target.cold_ms);
+        let cold_extended = target.cold_ms > 0 && advertised > before.max(now) + COLD_TOLERANCE;
+        let cold_until = if outdated { before } else { advertised };
+        self.live.insert(target.id.clone(), Lease { target, missing_at: None, cold_until });
+        changed || cold_extended
     }
 
     /// Takes in that the registry lacks an entry.
-    fn miss(&mut self, now: Time, position: Position, id: &id::Target) -> bool {
+    fn mark_missing(&mut self, now: Time, position: Position, id: &id::Target) -> bool {
         match self.live.get_mut(id) {
-            Some(entry) if now < self.rejoin && entry.target.state == State::Ready => {
-                entry.doubted = Some(position);
+            Some(lease) if now < self.grace_until && lease.target.state == State::Ready => {
+                lease.missing_at = Some(position);
                 false
             }
             Some(_) => {
@@ -394,9 +403,9 @@
     }
 
     fn remove(&mut self, now: Time, position: Position, id: &id::Target) {
-        if let Some(entry) = self.live.remove(id) {
-            let left = Left { target: entry.target, since: now, position };
-            self.left.entry(id.clone()).or_insert(left);
+        if let Some(lease) = self.live.remove(id) {
+            let tombstone = Tombstone { target: lease.target, created_at: now, position };
+            self.tombstones.entry(id.clone()).or_insert(tombstone);
         }
     }
 }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -139,35 +139,35 @@
 fn leases_say_how_long_a_target_is_cold() {
     let mut leases = Leases::default();
     let id = target(0, 1, 1).id;
-    leases.list(at(0), Position::new(0, 1), vec![target(6_000, 1, 1)]);
-    assert_eq!(leases.cold(at(2_000), &id), Duration::from_secs(4));
+    leases.apply_list(at(0), Position::new(0, 1), vec![target(6_000, 1, 1)]);
+    assert_eq!(leases.cold_remaining(at(2_000), &id), Duration::from_secs(4));
     let put = |cold, renewal, start| vec![Change::Put(target(cold, renewal, start))];
     // Each renewal says the same, which is no news.
-    assert!(leases.changes(at(2_000), Position::new(0, 2), put(4_100, 2, 1)).is_empty());
-    assert_eq!(leases.listing(at(3_000))[0].cold_ms, 3_100);
-    assert_eq!(leases.cold(at(7_000), &id), Duration::ZERO);
+    assert!(leases.apply_changes(at(2_000), Position::new(0, 2), put(4_100, 2, 1)).is_empty());
+    assert_eq!(leases.snapshot(at(3_000))[0].cold_ms, 3_100);
+    assert_eq!(leases.cold_remaining(at(7_000), &id), Duration::ZERO);
     // Cold again without a restart, and after one.
-    assert_eq!(leases.changes(at(8_000), Position::new(0, 3), put(5_000, 3, 1)).len(), 1);
-    assert!(leases.changes(at(8_500), Position::new(0, 4), put(0, 2, 1)).is_empty());
-    assert_eq!(leases.cold(at(9_000), &id), Duration::from_secs(4));
-    assert_eq!(leases.changes(at(9_000), Position::new(0, 5), put(0, 4, 1)).len(), 0);
-    assert_eq!(leases.cold(at(9_000), &id), Duration::ZERO);
-    assert_eq!(leases.changes(at(9_500), Position::new(0, 6), put(6_000, 1, 2)).len(), 1);
-    assert_eq!(leases.cold(at(9_500), &id), Duration::from_secs(6));
+    assert_eq!(leases.apply_changes(at(8_000), Position::new(0, 3), put(5_000, 3, 1)).len(), 1);
+    assert!(leases.apply_changes(at(8_500), Position::new(0, 4), put(0, 2, 1)).is_empty());
+    assert_eq!(leases.cold_remaining(at(9_000), &id), Duration::from_secs(4));
+    assert_eq!(leases.apply_changes(at(9_000), Position::new(0, 5), put(0, 4, 1)).len(), 0);
+    assert_eq!(leases.cold_remaining(at(9_000), &id), Duration::ZERO);
+    assert_eq!(leases.apply_changes(at(9_500), Position::new(0, 6), put(6_000, 1, 2)).len(), 1);
+    assert_eq!(leases.cold_remaining(at(9_500), &id), Duration::from_secs(6));
 }
 
 /// Guards against an entry that decides not knowing what the one that asks knows.
 #[test]
 fn what_another_entry_says_of_a_cold_target_is_taken_in() {
     let mut leases = Leases::default();
-    leases.list(at(0), Position::new(0, 1), vec![target(0, 1, 1)]);
+    leases.apply_list(at(0), Position::new(0, 1), vec![target(0, 1, 1)]);
     let word = |start| Update {
         target: target(0, 1, 1).id,
         start: Some(Start::new(start)),
         remaining_ms: 3_000,
     };
-    assert!(!leases.note_cold(at(0), &word(2)));
-    assert!(leases.note_cold(at(0), &word(1)));
-    assert!(!leases.note_cold(at(0), &word(1)));
-    assert_eq!(leases.cold(at(1_000), &word(1).target), Duration::from_secs(2));
+    assert!(!leases.apply_cold_update(at(0), &word(2)));
+    assert!(leases.apply_cold_update(at(0), &word(1)));
+    assert!(!leases.apply_cold_update(at(0), &word(1)));
+    assert_eq!(leases.cold_remaining(at(1_000), &word(1).target), Duration::from_secs(2));
 }
--- a/crates/policy/tests/cordon.rs
+++ b/crates/policy/tests/cordon.rs
@@ -5,7 +5,7 @@
 
 use fireflyhoist_policy::cordon::{Change, Cordons, MAX_DOMAINS, SETTLE_TIME};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::lease::REJOIN;
+use fireflyhoist_policy::lease::REJOIN_GRACE;
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::time::Time;
 use rand::seq::SliceRandom;
@@ -94,7 +94,7 @@
     reads.apply_list(at(0), Position::new(0, 50), set(&["a", "b"]));
     assert!(!reads.apply_list(at(1_000), Position::new(1, 20), set(&["b"])));
     told.apply_update(at(1_100), reads.to_update(at(1_100)).expect("it is known"));
-    let rejoin = u64::try_from(REJOIN.as_millis()).expect("milliseconds");
+    let rejoin = u64::try_from(REJOIN_GRACE.as_millis()).expect("milliseconds");
     for one in [&mut reads, &mut told] {
         assert!(!one.expire(at(900 + rejoin)));
         assert_eq!(known(one), set(&["a", "b"]));
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::lease::{Change, Leases, REJOIN, Start, State, Target};
+use fireflyhoist_policy::lease::{Change, Leases, REJOIN_GRACE, Start, State, Target};
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::time::Time;
 
@@ -42,12 +42,12 @@
 #[test]
 fn what_left_never_comes_back() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(5), vec![target("a"), target("b")]);
-    assert!(leases.change(at(10), rev(7), Change::Put(draining("a"))));
-    assert!(leases.change(at(10), rev(8), Change::Gone(target("b").id)));
-    assert!(!leases.change(at(20), rev(9), Change::Put(target("a"))));
-    assert!(!leases.change(at(20), rev(9), Change::Put(target("b"))));
-    assert!(!leases.list(at(30), rev(9), vec![target("a"), target("b")]));
+    leases.apply_list(at(0), rev(5), vec![target("a"), target("b")]);
+    assert!(leases.apply_change(at(10), rev(7), Change::Put(draining("a"))));
+    assert!(leases.apply_change(at(10), rev(8), Change::Gone(target("b").id)));
+    assert!(!leases.apply_change(at(20), rev(9), Change::Put(target("a"))));
+    assert!(!leases.apply_change(at(20), rev(9), Change::Put(target("b"))));
+    assert!(!leases.apply_list(at(30), rev(9), vec![target("a"), target("b")]));
     assert!(ready(&leases).is_empty());
 }
 
@@ -55,8 +55,8 @@
 #[test]
 fn an_older_list_is_ignored() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(9), vec![target("a"), target("b")]);
-    assert!(!leases.list(at(10), rev(4), vec![target("a")]));
+    leases.apply_list(at(0), rev(9), vec![target("a"), target("b")]);
+    assert!(!leases.apply_list(at(10), rev(4), vec![target("a")]));
     assert_eq!(ready(&leases), ["a", "b"]);
 }
 
@@ -65,8 +65,8 @@
 #[test]
 fn a_target_that_left_can_still_be_reached() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), vec![target("a")]);
-    leases.change(at(10), rev(2), Change::Gone(target("a").id));
+    leases.apply_list(at(0), rev(1), vec![target("a")]);
+    leases.apply_change(at(10), rev(2), Change::Gone(target("a").id));
     let id = target("a").id;
     assert!(!leases.is_ready(&id));
     assert_eq!(leases.get(&id).map(|t| t.address), Some(target("a").address));
@@ -79,13 +79,13 @@
 #[test]
 fn what_an_outage_hid_is_waited_for() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), vec![target("a"), target("b"), target("c")]);
-    leases.outage_over(at(10_000));
-    assert!(!leases.list(at(10_000), rev(2), vec![target("c")]));
+    leases.apply_list(at(0), rev(1), vec![target("a"), target("b"), target("c")]);
+    leases.start_grace(at(10_000));
+    assert!(!leases.apply_list(at(10_000), rev(2), vec![target("c")]));
     assert_eq!(ready(&leases), ["a", "b", "c"]);
-    leases.change(at(11_000), rev(3), Change::Put(target("b")));
+    leases.apply_change(at(11_000), rev(3), Change::Put(target("b")));
     assert!(!leases.expire(at(11_500)));
-    assert!(leases.expire(at(10_000) + REJOIN));
+    assert!(leases.expire(at(10_000) + REJOIN_GRACE));
     assert_eq!(ready(&leases), ["b", "c"]);
 }
 
@@ -93,10 +93,10 @@
 #[test]
 fn what_drained_is_not_waited_for() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), vec![draining("a"), target("b")]);
-    leases.change(at(1), rev(2), Change::Put(draining("b")));
-    leases.outage_over(at(10_000));
-    leases.list(at(10_000), rev(3), Vec::new());
+    leases.apply_list(at(0), rev(1), vec![draining("a"), target("b")]);
+    leases.apply_change(at(1), rev(2), Change::Put(draining("b")));
+    leases.start_grace(at(10_000));
+    leases.apply_list(at(10_000), rev(3), Vec::new());
     assert_eq!(leases.all().count(), 0);
 }
 
@@ -104,8 +104,8 @@
 #[test]
 fn a_renewed_entry_changes_nothing() {
     let mut leases = Leases::default();
-    assert!(leases.change(at(0), rev(1), Change::Put(target("a"))));
-    assert!(!leases.change(at(10), rev(2), Change::Put(target("a"))));
+    assert!(leases.apply_change(at(0), rev(1), Change::Put(target("a"))));
+    assert!(!leases.apply_change(at(10), rev(2), Change::Put(target("a"))));
     assert_eq!(leases.position(), rev(1));
 }
 
@@ -119,12 +119,12 @@
 #[test]
 fn what_lapsed_while_a_watch_hung_is_waited_for() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), ["a", "b", "c", "d"].map(target).to_vec());
+    leases.apply_list(at(0), rev(1), ["a", "b", "c", "d"].map(target).to_vec());
     let gone = ["a", "b", "c", "d"].map(|name| Change::Gone(target(name).id));
-    assert!(leases.changes(at(9_000), rev(2), gone.to_vec()).is_empty());
+    assert!(leases.apply_changes(at(9_000), rev(2), gone.to_vec()).is_empty());
     assert_eq!(ready(&leases), ["a", "b", "c", "d"]);
-    leases.changes(at(10_000), rev(5), vec![Change::Put(renewed("b", 9))]);
-    assert!(leases.expire(at(9_000) + REJOIN));
+    leases.apply_changes(at(10_000), rev(5), vec![Change::Put(renewed("b", 9))]);
+    assert!(leases.expire(at(9_000) + REJOIN_GRACE));
     assert_eq!(ready(&leases), ["b"]);
 }
 
@@ -133,9 +133,9 @@
 #[test]
 fn a_few_that_leave_together_are_gone_at_once() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), ["a", "b", "c", "d", "e", "f"].map(target).to_vec());
+    leases.apply_list(at(0), rev(1), ["a", "b", "c", "d", "e", "f"].map(target).to_vec());
     let gone = ["a", "b", "c"].map(|name| Change::Gone(target(name).id));
-    assert_eq!(leases.changes(at(10), rev(2), gone.to_vec()).len(), 3);
+    assert_eq!(leases.apply_changes(at(10), rev(2), gone.to_vec()).len(), 3);
     assert_eq!(ready(&leases), ["d", "e", "f"]);
 }
 
@@ -145,16 +145,16 @@
 #[test]
 fn one_that_was_removed_without_a_word_comes_back_with_a_newer_renewal() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), vec![renewed("a", 3), target("b")]);
-    assert!(leases.change(at(10), rev(4), Change::Gone(target("a").id)));
-    assert!(!leases.change(at(20), rev(5), Change::Put(renewed("a", 3))), "an old renewal");
-    assert!(!leases.change(at(20), rev(4), Change::Put(renewed("a", 9))), "an older reading");
-    assert!(leases.change(at(30), rev(6), Change::Put(renewed("a", 9))));
+    leases.apply_list(at(0), rev(1), vec![renewed("a", 3), target("b")]);
+    assert!(leases.apply_change(at(10), rev(4), Change::Gone(target("a").id)));
+    assert!(!leases.apply_change(at(20), rev(5), Change::Put(renewed("a", 3))), "an old renewal");
+    assert!(!leases.apply_change(at(20), rev(4), Change::Put(renewed("a", 9))), "an older reading");
+    assert!(leases.apply_change(at(30), rev(6), Change::Put(renewed("a", 9))));
     assert_eq!(ready(&leases), ["a", "b"]);
-    assert!(leases.change(at(40), rev(7), Change::Put(draining("a"))));
-    assert!(leases.change(at(50), rev(8), Change::Gone(target("a").id)));
+    assert!(leases.apply_change(at(40), rev(7), Change::Put(draining("a"))));
+    assert!(leases.apply_change(at(50), rev(8), Change::Gone(target("a").id)));
     assert!(
-        !leases.change(at(60), rev(9), Change::Put(renewed("a", 99))),
+        !leases.apply_change(at(60), rev(9), Change::Put(renewed("a", 99))),
         "it had said that it drains"
     );
     assert_eq!(ready(&leases), ["b"]);
@@ -165,11 +165,11 @@
 #[test]
 fn dropping_what_stayed_missing_shows_in_the_revision() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), vec![target("a"), target("b")]);
-    leases.outage_over(at(10));
-    leases.change(at(20), rev(5), Change::Gone(target("a").id));
+    leases.apply_list(at(0), rev(1), vec![target("a"), target("b")]);
+    leases.start_grace(at(10));
+    leases.apply_change(at(20), rev(5), Change::Gone(target("a").id));
     assert_eq!(leases.position(), rev(1));
-    assert!(leases.expire(at(10) + REJOIN));
+    assert!(leases.expire(at(10) + REJOIN_GRACE));
     assert_eq!(leases.position(), rev(5));
 }
 
@@ -183,13 +183,13 @@
 #[test]
 fn a_target_that_starts_again_under_its_name_takes_work() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), vec![started("a", 1_000, 40), started("b", 1_000, 40)]);
+    leases.apply_list(at(0), rev(1), vec![started("a", 1_000, 40), started("b", 1_000, 40)]);
     let drains = Target { state: State::Draining, ..started("a", 1_000, 41) };
-    leases.change(at(10), rev(2), Change::Put(drains));
-    leases.change(at(10), rev(3), Change::Gone(target("b").id));
+    leases.apply_change(at(10), rev(2), Change::Put(drains));
+    leases.apply_change(at(10), rev(3), Change::Gone(target("b").id));
     assert!(ready(&leases).is_empty());
-    assert!(leases.change(at(20), rev(4), Change::Put(started("a", 2_000, 1))));
-    assert!(leases.change(at(20), rev(5), Change::Put(started("b", 2_000, 1))));
+    assert!(leases.apply_change(at(20), rev(4), Change::Put(started("a", 2_000, 1))));
+    assert!(leases.apply_change(at(20), rev(5), Change::Put(started("b", 2_000, 1))));
     assert_eq!(ready(&leases), ["a", "b"]);
     assert_eq!(leases.get(&target("a").id).map(|t| t.renewal), Some(1));
 }
@@ -199,11 +199,11 @@
 #[test]
 fn a_late_reading_of_an_earlier_start_changes_nothing() {
     let mut leases = Leases::default();
-    leases.list(at(0), rev(1), vec![started("a", 2_000, 1), started("b", 2_000, 1)]);
+    leases.apply_list(at(0), rev(1), vec![started("a", 2_000, 1), started("b", 2_000, 1)]);
     let drained = Target { state: State::Draining, ..started("a", 1_000, 41) };
-    assert!(!leases.change(at(10), rev(2), Change::Put(drained)));
-    leases.change(at(10), rev(3), Change::Gone(target("b").id));
-    assert!(!leases.change(at(20), rev(4), Change::Put(started("b", 1_000, 90))));
+    assert!(!leases.apply_change(at(10), rev(2), Change::Put(drained)));
+    leases.apply_change(at(10), rev(3), Change::Gone(target("b").id));
+    assert!(!leases.apply_change(at(20), rev(4), Change::Put(started("b", 1_000, 90))));
     assert_eq!(ready(&leases), ["a"]);
 }
 
@@ -215,13 +215,13 @@
 #[test]
 fn a_list_of_a_later_era_counts_whatever_its_revision() {
     let mut leases = Leases::default();
-    leases.list(at(0), era(0, 90), vec![target("a")]);
-    assert!(leases.list(at(10), era(1, 4), vec![target("a"), target("b")]));
+    leases.apply_list(at(0), era(0, 90), vec![target("a")]);
+    assert!(leases.apply_list(at(10), era(1, 4), vec![target("a"), target("b")]));
     assert!(leases.is_ready(&target("b").id));
     assert_eq!(leases.position(), era(1, 4));
     // What is told of the era before says nothing any more.
-    assert!(!leases.list(at(20), era(0, 99), vec![target("a")]));
-    assert!(!leases.change(at(20), era(0, 99), Change::Gone(target("b").id)));
+    assert!(!leases.apply_list(at(20), era(0, 99), vec![target("a")]));
+    assert!(!leases.apply_change(at(20), era(0, 99), Change::Gone(target("b").id)));
     assert!(leases.is_ready(&target("b").id));
 }
 
@@ -229,10 +229,10 @@
 #[test]
 fn what_a_copy_lacks_stays_for_as_long_as_it_may_be_written_again() {
     let mut leases = Leases::default();
-    leases.list(at(0), era(0, 90), vec![target("a"), target("b"), target("c")]);
-    leases.list(at(10), era(1, 4), vec![target("a")]);
+    leases.apply_list(at(0), era(0, 90), vec![target("a"), target("b"), target("c")]);
+    leases.apply_list(at(10), era(1, 4), vec![target("a")]);
     assert!(leases.is_ready(&target("b").id) && leases.is_ready(&target("c").id));
-    leases.change(at(1_000), era(1, 5), Change::Put(target("b")));
+    leases.apply_change(at(1_000), era(1, 5), Change::Put(target("b")));
     leases.expire(at(3_000));
     assert!(leases.is_ready(&target("b").id));
     assert!(!leases.is_ready(&target("c").id));
@@ -242,10 +242,10 @@
 #[test]
 fn what_drains_or_left_does_not_come_back_with_a_copy() {
     let mut leases = Leases::default();
-    leases.list(at(0), era(0, 90), vec![target("a"), target("b"), target("c")]);
-    leases.change(at(10), era(0, 91), Change::Put(draining("a")));
-    leases.change(at(10), era(0, 92), Change::Gone(target("b").id));
-    leases.list(at(20), era(1, 4), vec![target("a"), target("b"), target("c")]);
+    leases.apply_list(at(0), era(0, 90), vec![target("a"), target("b"), target("c")]);
+    leases.apply_change(at(10), era(0, 91), Change::Put(draining("a")));
+    leases.apply_change(at(10), era(0, 92), Change::Gone(target("b").id));
+    leases.apply_list(at(20), era(1, 4), vec![target("a"), target("b"), target("c")]);
     assert!(!leases.is_ready(&target("a").id));
     assert!(!leases.is_ready(&target("b").id));
     assert!(leases.is_ready(&target("c").id));
@@ -255,9 +255,9 @@
 #[test]
 fn two_restores_in_a_row_are_two_eras() {
     let mut leases = Leases::default();
-    leases.list(at(0), era(0, 90), vec![target("a")]);
-    leases.list(at(10), era(1, 95), vec![target("a"), target("b")]);
-    assert!(leases.list(at(20), era(2, 4), vec![target("a"), target("c")]));
+    leases.apply_list(at(0), era(0, 90), vec![target("a")]);
+    leases.apply_list(at(10), era(1, 95), vec![target("a"), target("b")]);
+    assert!(leases.apply_list(at(20), era(2, 4), vec![target("a"), target("c")]));
     assert!(leases.is_ready(&target("c").id));
-    assert!(!leases.list(at(30), era(1, 99), vec![target("a")]));
+    assert!(!leases.apply_list(at(30), era(1, 99), vec![target("a")]));
 }
--- a/crates/policy/tests/registry_restore.rs
+++ b/crates/policy/tests/registry_restore.rs
@@ -45,7 +45,7 @@
     fn open(known: &[Target], listed: &[Target]) -> Self {
         let mut members: Vec<Leases> = (0..MEMBERS).map(|_| Leases::default()).collect();
         for leases in &mut members {
-            leases.list(at(0), Position::new(0, 900), known.to_vec());
+            leases.apply_list(at(0), Position::new(0, 900), known.to_vec());
         }
         let listed = listed.iter().map(|one| (one.id.to_string(), one.clone())).collect();
         Self { members, registry: (Position::new(1, 40), listed), reads: 0 }
@@ -63,7 +63,7 @@
         for nth in 0..READERS {
             if self.members[nth].position() < self.registry.0 {
                 self.reads += 1;
-                self.members[nth].list(now, self.registry.0, list.clone());
+                self.members[nth].apply_list(now, self.registry.0, list.clone());
             }
         }
         let told: Vec<(Position, Vec<Target>)> = self.members[..READERS]
@@ -74,7 +74,7 @@
             let (position, targets) = &told[nth % READERS];
             let hears = nth < MEMBERS / 2 || now >= late;
             if hears && *position > self.members[nth].position() {
-                self.members[nth].list(now, *position, targets.clone());
+                self.members[nth].apply_list(now, *position, targets.clone());
             }
             self.members[nth].expire(now);
         }
@@ -113,9 +113,9 @@
     let mut fleet = Fleet::open(&[gone.clone(), target("kept", 2)], std::slice::from_ref(&gone));
     for leases in &mut fleet.members {
         let draining = Target { state: State::Draining, ..gone.clone() };
-        leases.change(at(10), Position::new(0, 901), Change::Put(draining));
-        leases.change(at(20), Position::new(0, 902), Change::Gone(gone.id.clone()));
-        leases.change(at(30), Position::new(0, 903), Change::Put(heir.clone()));
+        leases.apply_change(at(10), Position::new(0, 901), Change::Put(draining));
+        leases.apply_change(at(20), Position::new(0, 902), Change::Gone(gone.id.clone()));
+        leases.apply_change(at(30), Position::new(0, 903), Change::Put(heir.clone()));
     }
     fleet.play(1_000, 1_600, at(0));
     assert_eq!((fleet.using("gone"), fleet.using("heir")), (0, MEMBERS));
@@ -131,8 +131,8 @@
 fn an_entry_that_starts_while_eras_differ_ends_with_the_new_one() {
     let (old, new) = (target("old", 1), target("new", 2));
     let mut joined = Leases::default();
-    joined.list(at(0), Position::new(0, 900), vec![old.clone()]);
-    joined.list(at(100), Position::new(1, 41), vec![old.clone(), new.clone()]);
-    assert!(!joined.list(at(200), Position::new(0, 950), vec![old]));
+    joined.apply_list(at(0), Position::new(0, 900), vec![old.clone()]);
+    joined.apply_list(at(100), Position::new(1, 41), vec![old.clone(), new.clone()]);
+    assert!(!joined.apply_list(at(200), Position::new(0, 950), vec![old]));
     assert!(joined.is_ready(&new.id));
 }
