--- a/crates/policy/tests/cordon.rs
+++ b/crates/policy/tests/cordon.rs
@@ -24,30 +24,30 @@
     names.iter().map(|name| domain(name)).collect()
 }
 
-fn known(cordons: &Cordons) -> BTreeSet<id::Domain> {
+fn cordoned(cordons: &Cordons) -> BTreeSet<id::Domain> {
     cordons.all().cloned().collect()
 }
 
 /// Guards against an older reading, or an older word of a peer, undoing a newer one.
 #[test]
-fn the_newest_reading_wins_whoever_did_it() {
+fn newest_position_wins() {
     let mut cordons = Cordons::default();
     assert!(!cordons.is_known());
     assert!(cordons.apply_list(at(0), Position::new(0, 10), set(&["a"])));
     assert!(!cordons.apply_list(at(1), Position::new(0, 9), set(&[])));
     let mut other = Cordons::default();
-    other.apply_update(at(2), cordons.to_update(at(2)).expect("it is known"));
+    other.apply_update(at(2), cordons.to_update(at(2)).expect("the set is known"));
     assert!(other.apply_changes(at(3), Position::new(0, 12), &[Change::Lifted(domain("a"))]));
-    assert!(!other.apply_update(at(4), cordons.to_update(at(4)).expect("it is known")));
-    assert_eq!(known(&other), set(&[]));
-    assert!(cordons.apply_update(at(5), other.to_update(at(5)).expect("it is known")));
+    assert!(!other.apply_update(at(4), cordons.to_update(at(4)).expect("the set is known")));
+    assert_eq!(cordoned(&other), set(&[]));
+    assert!(cordons.apply_update(at(5), other.to_update(at(5)).expect("the set is known")));
     assert!(!cordons.apply_changes(at(6), Position::new(0, 11), &[Change::Set(domain("b"))]));
-    assert_eq!(known(&cordons), set(&[]));
+    assert_eq!(cordoned(&cordons), set(&[]));
 }
 
 /// Guards against entries that disagree for good, whatever order they read and hear in.
 #[test]
-fn three_hundred_entries_end_alike() {
+fn three_hundred_entries_converge() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut entries = vec![Cordons::default(); 300];
     entries.iter_mut().for_each(|one| _ = one.apply_list(at(0), Position::new(0, 1), set(&[])));
@@ -74,32 +74,32 @@
         entries[late].apply_list(now, Position::new(0, revision), registry.clone());
         for _ in 0..200 {
             let (from, to) = (rng.random_range(0..300), rng.random_range(0..300));
-            let word = entries[from].to_update(now).expect("it is known");
-            entries[to].apply_update(now, word);
+            let update = entries[from].to_update(now).expect("the set is known");
+            entries[to].apply_update(now, update);
         }
     }
     let mut order: Vec<usize> = (2..300).collect();
     order.shuffle(&mut rng);
-    let word = entries[0].to_update(at(7_000)).expect("it is known");
+    let update = entries[0].to_update(at(7_000)).expect("the set is known");
     for nth in order {
-        entries[nth].apply_update(at(7_000), word.clone());
+        entries[nth].apply_update(at(7_000), update.clone());
     }
-    assert!(entries.iter().all(|one| known(one) == registry));
+    assert!(entries.iter().all(|one| cordoned(one) == registry));
 }
 
 /// Guards against a copy of the registry that lacks a cordon opening its domain, here or at those told.
 #[test]
-fn a_cordon_outlives_a_copy_that_lacks_it_for_a_while() {
-    let (mut reads, mut told) = (Cordons::default(), Cordons::default());
-    reads.apply_list(at(0), Position::new(0, 50), set(&["a", "b"]));
-    assert!(!reads.apply_list(at(1_000), Position::new(1, 20), set(&["b"])));
-    told.apply_update(at(1_100), reads.to_update(at(1_100)).expect("it is known"));
-    let rejoin = u64::try_from(REJOIN_GRACE.as_millis()).expect("milliseconds");
-    for one in [&mut reads, &mut told] {
-        assert!(!one.expire(at(900 + rejoin)));
-        assert_eq!(known(one), set(&["a", "b"]));
-        assert!(one.expire(at(1_200 + rejoin)));
-        assert_eq!(known(one), set(&["b"]));
+fn cordon_outlives_a_restore_for_the_grace_period() {
+    let (mut reader, mut receiver) = (Cordons::default(), Cordons::default());
+    reader.apply_list(at(0), Position::new(0, 50), set(&["a", "b"]));
+    assert!(!reader.apply_list(at(1_000), Position::new(1, 20), set(&["b"])));
+    receiver.apply_update(at(1_100), reader.to_update(at(1_100)).expect("the set is known"));
+    let grace_ms = u64::try_from(REJOIN_GRACE.as_millis()).expect("milliseconds");
+    for one in [&mut reader, &mut receiver] {
+        assert!(!one.expire(at(900 + grace_ms)));
+        assert_eq!(cordoned(one), set(&["a", "b"]));
+        assert!(one.expire(at(1_200 + grace_ms)));
+        assert_eq!(cordoned(one), set(&["b"]));
     }
     // Written again in time, it stays.
     let mut again = Cordons::default();
@@ -107,12 +107,12 @@
     again.apply_list(at(1_000), Position::new(1, 20), set(&[]));
     again.apply_changes(at(1_500), Position::new(1, 21), &[Change::Set(domain("a"))]);
     again.expire(at(60_000));
-    assert_eq!(known(&again), set(&["a"]));
+    assert_eq!(cordoned(&again), set(&["a"]));
 }
 
 /// Guards against a domain that was cordoned being taken for warm at once.
 #[test]
-fn a_domain_settles_after_its_cordon() {
+fn domain_counts_as_cold_after_its_cordon_is_lifted() {
     let mut cordons = Cordons::default();
     cordons.apply_list(at(0), Position::new(0, 1), set(&["a"]));
     assert_eq!(cordons.settle_remaining(at(0), &domain("a")), Duration::ZERO);
@@ -123,7 +123,7 @@
 
 /// Guards against heartbeats that go on telling what all have heard, or leave out a removal.
 #[test]
-fn a_removal_is_told_for_a_while() {
+fn lifted_cordon_is_announced_until_settled() {
     let mut cordons = Cordons::default();
     cordons.apply_list(at(0), Position::new(0, 1), set(&[]));
     let settled = at(0) + SETTLE_TIME;
@@ -132,25 +132,25 @@
     assert!(cordons.heartbeat_update(at(60_000)).is_some());
     cordons.apply_changes(at(60_000), Position::new(0, 3), &[Change::Lifted(domain("a"))]);
     cordons.expire(at(62_000));
-    let told = cordons.heartbeat_update(at(62_000)).expect("a removal is news");
-    assert!(told.domains.is_empty());
+    let update = cordons.heartbeat_update(at(62_000)).expect("a lift is announced");
+    assert!(update.domains.is_empty());
     cordons.expire(at(60_000) + SETTLE_TIME);
     assert!(cordons.heartbeat_update(at(60_000) + SETTLE_TIME).is_none());
 }
 
 /// Guards against entries that start together, each told by peers that did not know yet, and never again.
 #[test]
-fn that_there_are_none_is_news_at_first() {
-    let (mut reads, mut told) = (Cordons::default(), Cordons::default());
-    assert!(reads.heartbeat_update(at(0)).is_none());
-    reads.apply_list(at(1_000), Position::new(0, 1), set(&[]));
-    told.apply_update(at(1_200), reads.heartbeat_update(at(1_200)).expect("it is news"));
-    assert!(told.is_known() && told.heartbeat_update(at(1_300)).is_some());
+fn empty_set_is_announced_after_the_first_reading() {
+    let (mut reader, mut receiver) = (Cordons::default(), Cordons::default());
+    assert!(reader.heartbeat_update(at(0)).is_none());
+    reader.apply_list(at(1_000), Position::new(0, 1), set(&[]));
+    receiver.apply_update(at(1_200), reader.heartbeat_update(at(1_200)).expect("an update is due"));
+    assert!(receiver.is_known() && receiver.heartbeat_update(at(1_300)).is_some());
 }
 
 /// Guards against another writer's entries filling the memory.
 #[test]
-fn what_is_kept_is_bounded() {
+fn number_of_domains_is_bounded() {
     let mut cordons = Cordons::default();
     let many = (0..5_000).map(|nth| domain(&format!("d-{nth}"))).collect();
     cordons.apply_list(at(0), Position::new(0, 1), many);
--- a/crates/policy/tests/gate_cordon.rs
+++ b/crates/policy/tests/gate_cordon.rs
@@ -14,18 +14,18 @@
 use yare::parameterized;
 
 const ENGINES: usize = 9;
-const MEMORY: u64 = 21_808;
-const PROMPT: u64 = 2_200;
+const MEMORY_TOKENS: u64 = 21_808;
+const PROMPT_TOKENS: u64 = 2_200;
 const OBJECTIVE: Duration = Duration::from_millis(1_500);
-const PATIENCE: Duration = Duration::from_secs(6);
+const TIMEOUT: Duration = Duration::from_secs(6);
 
 /// How long a question's answer takes.
-const RUN: Duration = Duration::from_millis(900);
+const ANSWER_TIME: Duration = Duration::from_millis(900);
 
 const POLL: Duration = Duration::from_millis(20);
 
 /// When the third is cordoned, and when that is lifted.
-const CORDON: (u64, u64) = (10_000, 20_000);
+const CORDON_MS: (u64, u64) = (10_000, 20_000);
 
 fn at(ms: u64) -> Time {
     Time::ZERO + Duration::from_millis(ms)
@@ -35,7 +35,7 @@
     format!("e-{n}").parse().expect("a name")
 }
 
-fn third() -> BTreeSet<id::Target> {
+fn cordoned_third() -> BTreeSet<id::Target> {
     (0..ENGINES / 3).map(engine).collect()
 }
 
@@ -50,7 +50,7 @@
     };
     let mut gate = Gate::open(settings);
     gate.set_targets(Time::ZERO, (0..ENGINES).map(engine).collect());
-    let report = Report { capacity: Tokens::new(MEMORY), ..Report::default() };
+    let report = Report { capacity: Tokens::new(MEMORY_TOKENS), ..Report::default() };
     (0..ENGINES).for_each(|n| gate.report(Time::ZERO, &engine(n), &report, Duration::ZERO));
     gate
 }
@@ -60,11 +60,11 @@
         request: id::Request::new(request),
         workspace: "w".parse().expect("a name"),
         class: Class::Live,
-        prompt: Tokens::new(PROMPT),
+        prompt: Tokens::new(PROMPT_TOKENS),
         limit: Tokens::new(40),
         prefix: 0,
         objective: now + OBJECTIVE,
-        deadline: now + PATIENCE,
+        deadline: now + TIMEOUT,
         repeat: false,
         avoid: None,
     }
@@ -72,75 +72,77 @@
 
 /// What became of those asked while the third was cordoned.
 #[derive(Debug, Default)]
-struct Seen {
-    asked: usize,
+struct Results {
+    requests: usize,
     on_time: usize,
     late: usize,
     refused: usize,
     /// Requests that reached the third meanwhile.
-    inside: usize,
+    sent_to_cordoned: usize,
     /// The longest wait for a refusal.
-    longest: Duration,
+    max_refusal_wait: Duration,
     /// Sent to each of the third within a quarter of a second after its return.
-    rush: usize,
+    max_burst: usize,
 }
 
 /// Half a minute of questions, so many a second.
-fn play(asked: f64) -> Seen {
+fn run(requests_per_second: f64) -> Results {
     let mut rng = SmallRng::seed_from_u64(11);
     let mut arrivals = SmallRng::seed_from_u64(13);
     let mut gate = gate();
-    let mut seen = Seen::default();
+    let mut results = Results::default();
     let mut running: Vec<(Time, id::Request)> = Vec::new();
-    let mut wanted: Vec<Time> = Vec::new();
-    let mut back: BTreeMap<id::Target, usize> = BTreeMap::new();
+    let mut arrived: Vec<Time> = Vec::new();
+    let mut bursts: BTreeMap<id::Target, usize> = BTreeMap::new();
     let mut now = Time::ZERO;
     while now < at(30_000) {
-        if now == at(CORDON.0) {
-            gate.set_cordoned(now, &third());
+        if now == at(CORDON_MS.0) {
+            gate.set_cordoned(now, &cordoned_third());
         }
-        if now == at(CORDON.1) {
+        if now == at(CORDON_MS.1) {
             gate.set_cordoned(now, &BTreeSet::new());
         }
         let ended: Vec<(Time, id::Request)> =
             running.extract_if(.., |(end, _)| *end <= now).collect();
         ended.iter().for_each(|(_, request)| gate.finish(now, *request, Outcome::Whole));
         let mut decided = gate.poll(now, &mut rng);
-        let cordoned = |time: Time| time >= at(CORDON.0) && time < at(CORDON.1);
-        for _ in 0..arrivals.random_range(0..=(2.0 * asked * POLL.as_secs_f64()).round() as usize) {
-            let number = wanted.len() as u128;
-            wanted.push(now);
-            seen.asked += usize::from(cordoned(now));
+        let is_cordoned = |time: Time| time >= at(CORDON_MS.0) && time < at(CORDON_MS.1);
+        for _ in 0..arrivals
+            .random_range(0..=(2.0 * requests_per_second * POLL.as_secs_f64()).round() as usize)
+        {
+            let number = arrived.len() as u128;
+            arrived.push(now);
+            results.requests += usize::from(is_cordoned(now));
             decided.push((id::Request::new(number), gate.offer(now, &mut rng, ask(number, now))));
         }
         for (request, verdict) in decided {
-            let came = wanted[usize::try_from(request.get()).expect("a small number")];
-            let waited = now.since(came);
+            let arrived_at = arrived[usize::try_from(request.get()).expect("a small number")];
+            let waited = now.since(arrived_at);
             match verdict {
                 Verdict::Send(target) => {
-                    let third = third().contains(&target);
-                    seen.inside += usize::from(third && cordoned(now));
-                    if third && now >= at(CORDON.1) && now < at(CORDON.1 + 250) {
-                        *back.entry(target).or_default() += 1;
+                    let in_third = cordoned_third().contains(&target);
+                    results.sent_to_cordoned += usize::from(in_third && is_cordoned(now));
+                    if in_third && now >= at(CORDON_MS.1) && now < at(CORDON_MS.1 + 250) {
+                        *bursts.entry(target).or_default() += 1;
                     }
-                    if cordoned(came) {
-                        seen.on_time += usize::from(waited <= OBJECTIVE);
-                        seen.late += usize::from(waited > OBJECTIVE);
+                    if is_cordoned(arrived_at) {
+                        results.on_time += usize::from(waited <= OBJECTIVE);
+                        results.late += usize::from(waited > OBJECTIVE);
                     }
-                    running.push((now + RUN, request));
+                    running.push((now + ANSWER_TIME, request));
                     gate.progress(now, request, Tokens::new(1));
                 }
-                Verdict::Refuse(_) if cordoned(came) => {
-                    seen.refused += 1;
-                    seen.longest = seen.longest.max(waited);
+                Verdict::Refuse(_) if is_cordoned(arrived_at) => {
+                    results.refused += 1;
+                    results.max_refusal_wait = results.max_refusal_wait.max(waited);
                 }
                 Verdict::Refuse(_) | Verdict::Wait => {}
             }
         }
         now = now + POLL;
     }
-    seen.rush = back.values().copied().max().unwrap_or_default();
-    seen
+    results.max_burst = bursts.values().copied().max().unwrap_or_default();
+    results
 }
 
 /// Guards against sends to the third, and against the rest not carrying what it can.
@@ -149,24 +151,24 @@
     full = { 40.0, 0.9 },
     over_full = { 80.0, 0.4 },
 )]
-fn the_rest_carries_what_it_can(asked: f64, on_time: f64) {
-    let seen = play(asked);
-    println!("{seen:?}");
-    assert_eq!(seen.inside, 0);
-    assert!(seen.on_time as f64 >= on_time * seen.asked as f64, "{seen:?}");
-    assert!(seen.longest <= OBJECTIVE + Duration::from_millis(500), "{seen:?}");
+fn remaining_engines_carry_the_load(requests_per_second: f64, min_on_time: f64) {
+    let results = run(requests_per_second);
+    println!("{results:?}");
+    assert_eq!(results.sent_to_cordoned, 0);
+    assert!(results.on_time as f64 >= min_on_time * results.requests as f64, "{results:?}");
+    assert!(results.max_refusal_wait <= OBJECTIVE + Duration::from_millis(500), "{results:?}");
 }
 
 /// Guards against all that waits rushing to engines that come back and look empty.
 #[test]
-fn engines_that_come_back_are_not_rushed() {
-    let seen = play(80.0);
-    assert!(seen.rush <= 12, "{seen:?}");
+fn uncordoned_engines_are_not_flooded() {
+    let results = run(80.0);
+    assert!(results.max_burst <= 12, "{results:?}");
 }
 
 /// Guards against a repeat, or an answer that must go on elsewhere, choosing a cordoned engine.
 #[test]
-fn no_path_of_the_gate_chooses_a_cordoned_engine() {
+fn gate_never_selects_a_cordoned_engine() {
     let (mut gate, mut rng) = (gate(), SmallRng::seed_from_u64(1));
     let all: BTreeSet<id::Target> = (1..ENGINES).map(engine).collect();
     gate.set_cordoned(at(0), &all);
@@ -190,17 +192,17 @@
 
 /// Guards against entries that rush together to engines that come back.
 #[test]
-fn entries_take_turns_at_engines_that_come_back() {
+fn entries_stagger_sends_to_uncordoned_engines() {
     let hosts: Vec<id::Host> =
         (0..20).map(|n| format!("entry-{n}").parse().expect("a name")).collect();
-    let mut at_once = 0;
+    let mut sent_at_once = 0;
     for own in &hosts {
         let (mut gate, mut rng) = (gate(), SmallRng::seed_from_u64(1));
         gate.set_order(Order::of(own.clone(), hosts.clone()));
         gate.set_cordoned(at(5_000), &(0..ENGINES).map(engine).collect());
         gate.set_cordoned(at(6_000), &(1..ENGINES).map(engine).collect());
         let sent = gate.offer(at(6_010), &mut rng, ask(1, at(6_010)));
-        at_once += usize::from(matches!(sent, Verdict::Send(_)));
+        sent_at_once += usize::from(matches!(sent, Verdict::Send(_)));
     }
-    assert_eq!(at_once, 1);
+    assert_eq!(sent_at_once, 1);
 }
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -30,7 +30,7 @@
     leases.ready(&service).map(|target| target.id.to_string()).collect()
 }
 
-fn rev(revision: u64) -> Position {
+fn revision(revision: u64) -> Position {
     Position::new(0, revision)
 }
 
@@ -40,33 +40,33 @@
 
 /// A target is taken out and an older reading still lists it: work would go to a process that ends.
 #[test]
-fn what_left_never_comes_back() {
+fn removed_targets_are_not_revived_by_older_readings() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(5), vec![target("a"), target("b")]);
-    assert!(leases.apply_change(at(10), rev(7), Change::Put(draining("a"))));
-    assert!(leases.apply_change(at(10), rev(8), Change::Gone(target("b").id)));
-    assert!(!leases.apply_change(at(20), rev(9), Change::Put(target("a"))));
-    assert!(!leases.apply_change(at(20), rev(9), Change::Put(target("b"))));
-    assert!(!leases.apply_list(at(30), rev(9), vec![target("a"), target("b")]));
+    leases.apply_list(at(0), revision(5), vec![target("a"), target("b")]);
+    assert!(leases.apply_change(at(10), revision(7), Change::Put(draining("a"))));
+    assert!(leases.apply_change(at(10), revision(8), Change::Gone(target("b").id)));
+    assert!(!leases.apply_change(at(20), revision(9), Change::Put(target("a"))));
+    assert!(!leases.apply_change(at(20), revision(9), Change::Put(target("b"))));
+    assert!(!leases.apply_list(at(30), revision(9), vec![target("a"), target("b")]));
     assert!(ready(&leases).is_empty());
 }
 
 /// Two readings overtake each other; the list that was read first must not undo the later one.
 #[test]
-fn an_older_list_is_ignored() {
+fn older_list_is_ignored() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(9), vec![target("a"), target("b")]);
-    assert!(!leases.apply_list(at(10), rev(4), vec![target("a")]));
+    leases.apply_list(at(0), revision(9), vec![target("a"), target("b")]);
+    assert!(!leases.apply_list(at(10), revision(4), vec![target("a")]));
     assert_eq!(ready(&leases), ["a", "b"]);
 }
 
 /// Answers that still run at a target are to be moved from it: its address must stay known when its
 /// entry is gone.
 #[test]
-fn a_target_that_left_can_still_be_reached() {
+fn removed_target_stays_known_until_its_tombstone_expires() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), vec![target("a")]);
-    leases.apply_change(at(10), rev(2), Change::Gone(target("a").id));
+    leases.apply_list(at(0), revision(1), vec![target("a")]);
+    leases.apply_change(at(10), revision(2), Change::Gone(target("a").id));
     let id = target("a").id;
     assert!(!leases.is_ready(&id));
     assert_eq!(leases.get(&id).map(|t| t.address), Some(target("a").address));
@@ -77,13 +77,13 @@
 /// The registry was down, entries lapsed, and the first list after its return lacks targets that
 /// live. They serve on; one that is not back in time is gone.
 #[test]
-fn what_an_outage_hid_is_waited_for() {
+fn missing_targets_stay_ready_after_an_outage() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), vec![target("a"), target("b"), target("c")]);
+    leases.apply_list(at(0), revision(1), vec![target("a"), target("b"), target("c")]);
     leases.start_grace(at(10_000));
-    assert!(!leases.apply_list(at(10_000), rev(2), vec![target("c")]));
+    assert!(!leases.apply_list(at(10_000), revision(2), vec![target("c")]));
     assert_eq!(ready(&leases), ["a", "b", "c"]);
-    leases.apply_change(at(11_000), rev(3), Change::Put(target("b")));
+    leases.apply_change(at(11_000), revision(3), Change::Put(target("b")));
     assert!(!leases.expire(at(11_500)));
     assert!(leases.expire(at(10_000) + REJOIN_GRACE));
     assert_eq!(ready(&leases), ["b", "c"]);
@@ -91,25 +91,25 @@
 
 /// What drained before the outage has no claim to be waited for.
 #[test]
-fn what_drained_is_not_waited_for() {
+fn draining_targets_get_no_grace() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), vec![draining("a"), target("b")]);
-    leases.apply_change(at(1), rev(2), Change::Put(draining("b")));
+    leases.apply_list(at(0), revision(1), vec![draining("a"), target("b")]);
+    leases.apply_change(at(1), revision(2), Change::Put(draining("b")));
     leases.start_grace(at(10_000));
-    leases.apply_list(at(10_000), rev(3), Vec::new());
+    leases.apply_list(at(10_000), revision(3), Vec::new());
     assert_eq!(leases.all().count(), 0);
 }
 
 /// Only what differs wakes anyone: entries are renewed many times a second.
 #[test]
-fn a_renewed_entry_changes_nothing() {
+fn renewal_is_no_change() {
     let mut leases = Leases::default();
-    assert!(leases.apply_change(at(0), rev(1), Change::Put(target("a"))));
-    assert!(!leases.apply_change(at(10), rev(2), Change::Put(target("a"))));
-    assert_eq!(leases.position(), rev(1));
+    assert!(leases.apply_change(at(0), revision(1), Change::Put(target("a"))));
+    assert!(!leases.apply_change(at(10), revision(2), Change::Put(target("a"))));
+    assert_eq!(leases.position(), revision(1));
 }
 
-fn renewed(name: &str, renewal: u64) -> Target {
+fn target_with_renewal(name: &str, renewal: u64) -> Target {
     Target { renewal, ..target(name) }
 }
 
@@ -117,13 +117,13 @@
 /// five seconds, all entries lapsed, and the watch that had waited through it was answered with
 /// their removal. No call had failed, so nobody knew of an outage.
 #[test]
-fn what_lapsed_while_a_watch_hung_is_waited_for() {
+fn mass_lapse_during_a_hung_watch_starts_grace() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), ["a", "b", "c", "d"].map(target).to_vec());
+    leases.apply_list(at(0), revision(1), ["a", "b", "c", "d"].map(target).to_vec());
     let gone = ["a", "b", "c", "d"].map(|name| Change::Gone(target(name).id));
-    assert!(leases.apply_changes(at(9_000), rev(2), gone.to_vec()).is_empty());
+    assert!(leases.apply_changes(at(9_000), revision(2), gone.to_vec()).is_empty());
     assert_eq!(ready(&leases), ["a", "b", "c", "d"]);
-    leases.apply_changes(at(10_000), rev(5), vec![Change::Put(renewed("b", 9))]);
+    leases.apply_changes(at(10_000), revision(5), vec![Change::Put(target_with_renewal("b", 9))]);
     assert!(leases.expire(at(9_000) + REJOIN_GRACE));
     assert_eq!(ready(&leases), ["b"]);
 }
@@ -131,11 +131,11 @@
 /// Two of many targets leave in one reading; work must not go on to them for seconds because an
 /// outage was suspected.
 #[test]
-fn a_few_that_leave_together_are_gone_at_once() {
+fn half_of_the_targets_leave_at_once() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), ["a", "b", "c", "d", "e", "f"].map(target).to_vec());
+    leases.apply_list(at(0), revision(1), ["a", "b", "c", "d", "e", "f"].map(target).to_vec());
     let gone = ["a", "b", "c"].map(|name| Change::Gone(target(name).id));
-    assert_eq!(leases.apply_changes(at(10), rev(2), gone.to_vec()).len(), 3);
+    assert_eq!(leases.apply_changes(at(10), revision(2), gone.to_vec()).len(), 3);
     assert_eq!(ready(&leases), ["d", "e", "f"]);
 }
 
@@ -143,18 +143,24 @@
 /// heals it renews its entry and serves, but its name counted as that of one that left, and it got
 /// no work for a minute.
 #[test]
-fn one_that_was_removed_without_a_word_comes_back_with_a_newer_renewal() {
+fn lapsed_target_returns_with_a_newer_renewal() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), vec![renewed("a", 3), target("b")]);
-    assert!(leases.apply_change(at(10), rev(4), Change::Gone(target("a").id)));
-    assert!(!leases.apply_change(at(20), rev(5), Change::Put(renewed("a", 3))), "an old renewal");
-    assert!(!leases.apply_change(at(20), rev(4), Change::Put(renewed("a", 9))), "an older reading");
-    assert!(leases.apply_change(at(30), rev(6), Change::Put(renewed("a", 9))));
+    leases.apply_list(at(0), revision(1), vec![target_with_renewal("a", 3), target("b")]);
+    assert!(leases.apply_change(at(10), revision(4), Change::Gone(target("a").id)));
+    assert!(
+        !leases.apply_change(at(20), revision(5), Change::Put(target_with_renewal("a", 3))),
+        "an old renewal"
+    );
+    assert!(
+        !leases.apply_change(at(20), revision(4), Change::Put(target_with_renewal("a", 9))),
+        "an older reading"
+    );
+    assert!(leases.apply_change(at(30), revision(6), Change::Put(target_with_renewal("a", 9))));
     assert_eq!(ready(&leases), ["a", "b"]);
-    assert!(leases.apply_change(at(40), rev(7), Change::Put(draining("a"))));
-    assert!(leases.apply_change(at(50), rev(8), Change::Gone(target("a").id)));
+    assert!(leases.apply_change(at(40), revision(7), Change::Put(draining("a"))));
+    assert!(leases.apply_change(at(50), revision(8), Change::Gone(target("a").id)));
     assert!(
-        !leases.apply_change(at(60), rev(9), Change::Put(renewed("a", 99))),
+        !leases.apply_change(at(60), revision(9), Change::Put(target_with_renewal("a", 99))),
         "it had said that it drains"
     );
     assert_eq!(ready(&leases), ["b"]);
@@ -163,17 +169,17 @@
 /// Entries that read no registry themselves go on sending to a target that is gone since an outage:
 /// the one that watches for them dropped it, but showed no newer revision than they had.
 #[test]
-fn dropping_what_stayed_missing_shows_in_the_revision() {
+fn expiry_advances_the_position() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), vec![target("a"), target("b")]);
+    leases.apply_list(at(0), revision(1), vec![target("a"), target("b")]);
     leases.start_grace(at(10));
-    leases.apply_change(at(20), rev(5), Change::Gone(target("a").id));
-    assert_eq!(leases.position(), rev(1));
+    leases.apply_change(at(20), revision(5), Change::Gone(target("a").id));
+    assert_eq!(leases.position(), revision(1));
     assert!(leases.expire(at(10) + REJOIN_GRACE));
-    assert_eq!(leases.position(), rev(5));
+    assert_eq!(leases.position(), revision(5));
 }
 
-fn started(name: &str, start: u64, renewal: u64) -> Target {
+fn target_with_start(name: &str, start: u64, renewal: u64) -> Target {
     Target { start: Some(Start::new(start)), renewal, ..target(name) }
 }
 
@@ -181,15 +187,27 @@
 /// renewals count from one again: taken for a late reading of the old start it would never get work,
 /// and a service all of whose engines were restarted so would be refused for a minute.
 #[test]
-fn a_target_that_starts_again_under_its_name_takes_work() {
+fn restarted_target_takes_work() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), vec![started("a", 1_000, 40), started("b", 1_000, 40)]);
-    let drains = Target { state: State::Draining, ..started("a", 1_000, 41) };
-    leases.apply_change(at(10), rev(2), Change::Put(drains));
-    leases.apply_change(at(10), rev(3), Change::Gone(target("b").id));
+    leases.apply_list(
+        at(0),
+        revision(1),
+        vec![target_with_start("a", 1_000, 40), target_with_start("b", 1_000, 40)],
+    );
+    let drains = Target { state: State::Draining, ..target_with_start("a", 1_000, 41) };
+    leases.apply_change(at(10), revision(2), Change::Put(drains));
+    leases.apply_change(at(10), revision(3), Change::Gone(target("b").id));
     assert!(ready(&leases).is_empty());
-    assert!(leases.apply_change(at(20), rev(4), Change::Put(started("a", 2_000, 1))));
-    assert!(leases.apply_change(at(20), rev(5), Change::Put(started("b", 2_000, 1))));
+    assert!(leases.apply_change(
+        at(20),
+        revision(4),
+        Change::Put(target_with_start("a", 2_000, 1))
+    ));
+    assert!(leases.apply_change(
+        at(20),
+        revision(5),
+        Change::Put(target_with_start("b", 2_000, 1))
+    ));
     assert_eq!(ready(&leases), ["a", "b"]);
     assert_eq!(leases.get(&target("a").id).map(|t| t.renewal), Some(1));
 }
@@ -197,42 +215,50 @@
 /// Readings overtake each other: one of the earlier start that comes late must not take the target
 /// back to what it was, nor bring back one that left for good.
 #[test]
-fn a_late_reading_of_an_earlier_start_changes_nothing() {
+fn late_reading_of_an_earlier_start_is_ignored() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), rev(1), vec![started("a", 2_000, 1), started("b", 2_000, 1)]);
-    let drained = Target { state: State::Draining, ..started("a", 1_000, 41) };
-    assert!(!leases.apply_change(at(10), rev(2), Change::Put(drained)));
-    leases.apply_change(at(10), rev(3), Change::Gone(target("b").id));
-    assert!(!leases.apply_change(at(20), rev(4), Change::Put(started("b", 1_000, 90))));
+    leases.apply_list(
+        at(0),
+        revision(1),
+        vec![target_with_start("a", 2_000, 1), target_with_start("b", 2_000, 1)],
+    );
+    let drained = Target { state: State::Draining, ..target_with_start("a", 1_000, 41) };
+    assert!(!leases.apply_change(at(10), revision(2), Change::Put(drained)));
+    leases.apply_change(at(10), revision(3), Change::Gone(target("b").id));
+    assert!(!leases.apply_change(
+        at(20),
+        revision(4),
+        Change::Put(target_with_start("b", 1_000, 90))
+    ));
     assert_eq!(ready(&leases), ["a"]);
 }
 
-fn era(era: u64, revision: u64) -> Position {
+fn position(era: u64, revision: u64) -> Position {
     Position::new(era, revision)
 }
 
 /// Guards against the list of a registry that came back from a copy being dropped as old.
 #[test]
-fn a_list_of_a_later_era_counts_whatever_its_revision() {
+fn list_of_a_later_era_replaces_higher_revisions() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), era(0, 90), vec![target("a")]);
-    assert!(leases.apply_list(at(10), era(1, 4), vec![target("a"), target("b")]));
+    leases.apply_list(at(0), position(0, 90), vec![target("a")]);
+    assert!(leases.apply_list(at(10), position(1, 4), vec![target("a"), target("b")]));
     assert!(leases.is_ready(&target("b").id));
-    assert_eq!(leases.position(), era(1, 4));
+    assert_eq!(leases.position(), position(1, 4));
     // What is told of the era before says nothing any more.
-    assert!(!leases.apply_list(at(20), era(0, 99), vec![target("a")]));
-    assert!(!leases.apply_change(at(20), era(0, 99), Change::Gone(target("b").id)));
+    assert!(!leases.apply_list(at(20), position(0, 99), vec![target("a")]));
+    assert!(!leases.apply_change(at(20), position(0, 99), Change::Gone(target("b").id)));
     assert!(leases.is_ready(&target("b").id));
 }
 
 /// Guards against targets of the lost seconds being cut off, or being kept for good.
 #[test]
-fn what_a_copy_lacks_stays_for_as_long_as_it_may_be_written_again() {
+fn targets_missing_after_a_restore_stay_for_the_grace_period() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), era(0, 90), vec![target("a"), target("b"), target("c")]);
-    leases.apply_list(at(10), era(1, 4), vec![target("a")]);
+    leases.apply_list(at(0), position(0, 90), vec![target("a"), target("b"), target("c")]);
+    leases.apply_list(at(10), position(1, 4), vec![target("a")]);
     assert!(leases.is_ready(&target("b").id) && leases.is_ready(&target("c").id));
-    leases.apply_change(at(1_000), era(1, 5), Change::Put(target("b")));
+    leases.apply_change(at(1_000), position(1, 5), Change::Put(target("b")));
     leases.expire(at(3_000));
     assert!(leases.is_ready(&target("b").id));
     assert!(!leases.is_ready(&target("c").id));
@@ -240,12 +266,12 @@
 
 /// Guards against a target that drains, or left, being listed as ready by a copy of before.
 #[test]
-fn what_drains_or_left_does_not_come_back_with_a_copy() {
+fn restore_revives_no_draining_or_removed_target() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), era(0, 90), vec![target("a"), target("b"), target("c")]);
-    leases.apply_change(at(10), era(0, 91), Change::Put(draining("a")));
-    leases.apply_change(at(10), era(0, 92), Change::Gone(target("b").id));
-    leases.apply_list(at(20), era(1, 4), vec![target("a"), target("b"), target("c")]);
+    leases.apply_list(at(0), position(0, 90), vec![target("a"), target("b"), target("c")]);
+    leases.apply_change(at(10), position(0, 91), Change::Put(draining("a")));
+    leases.apply_change(at(10), position(0, 92), Change::Gone(target("b").id));
+    leases.apply_list(at(20), position(1, 4), vec![target("a"), target("b"), target("c")]);
     assert!(!leases.is_ready(&target("a").id));
     assert!(!leases.is_ready(&target("b").id));
     assert!(leases.is_ready(&target("c").id));
@@ -253,11 +279,11 @@
 
 /// Guards against the second of two restores in a row being taken for the first.
 #[test]
-fn two_restores_in_a_row_are_two_eras() {
+fn consecutive_restores_are_separate_eras() {
     let mut leases = Leases::default();
-    leases.apply_list(at(0), era(0, 90), vec![target("a")]);
-    leases.apply_list(at(10), era(1, 95), vec![target("a"), target("b")]);
-    assert!(leases.apply_list(at(20), era(2, 4), vec![target("a"), target("c")]));
+    leases.apply_list(at(0), position(0, 90), vec![target("a")]);
+    leases.apply_list(at(10), position(1, 95), vec![target("a"), target("b")]);
+    assert!(leases.apply_list(at(20), position(2, 4), vec![target("a"), target("c")]));
     assert!(leases.is_ready(&target("c").id));
-    assert!(!leases.apply_list(at(30), era(1, 99), vec![target("a")]));
+    assert!(!leases.apply_list(at(30), position(1, 99), vec![target("a")]));
 }
--- a/crates/policy/tests/migration_queue.rs
+++ b/crates/policy/tests/migration_queue.rs
@@ -20,57 +20,57 @@
     Migration { entry, request: request.into(), remaining: Tokens::new(remaining) }
 }
 
-fn due(queues: &mut Queues, ms: u64) -> Vec<String> {
+fn poll(queues: &mut Queues, ms: u64) -> Vec<String> {
     queues.poll(at(ms)).into_iter().map(|(_, migration)| migration.request.to_string()).collect()
 }
 
 /// Copies that share a link stand in each other's way: only one answer moves at a time, and the
 /// longest goes first, since it is the most certain to be cut where it is.
 #[test]
-fn one_answer_moves_at_a_time_the_longest_first() {
+fn migrations_run_one_at_a_time_longest_first() {
     let mut queues = Queues::new();
     queues.enqueue(at(0), &engine(), migration("short", 50));
     queues.enqueue(at(5), &engine(), migration("long", 4_000));
     queues.enqueue(at(9), &engine(), migration("middle", 900));
-    assert!(due(&mut queues, 10).is_empty(), "others may still learn that the engine leaves");
-    assert_eq!(due(&mut queues, 12), ["long"]);
-    assert!(due(&mut queues, 100).is_empty());
+    assert!(poll(&mut queues, 10).is_empty(), "others may still learn that the engine leaves");
+    assert_eq!(poll(&mut queues, 12), ["long"]);
+    assert!(poll(&mut queues, 100).is_empty());
     queues.finish(&engine(), "long");
-    assert_eq!(due(&mut queues, 220), ["middle"]);
+    assert_eq!(poll(&mut queues, 220), ["middle"]);
     queues.finish(&engine(), "middle");
-    assert_eq!(due(&mut queues, 400), ["short"]);
+    assert_eq!(poll(&mut queues, 400), ["short"]);
     queues.finish(&engine(), "short");
-    due(&mut queues, 401);
+    poll(&mut queues, 401);
     assert!(queues.is_idle());
 }
 
 /// An entry dies with the turn: all others would wait until the engine is gone.
 #[test]
-fn a_turn_that_never_ends_is_passed_on() {
+fn unfinished_migration_times_out() {
     let mut queues = Queues::new();
     queues.enqueue(at(0), &engine(), migration("lost", 4_000));
     queues.enqueue(at(0), &engine(), migration("next", 900));
-    assert_eq!(due(&mut queues, 20), ["lost"]);
-    assert!(due(&mut queues, 800).is_empty());
-    assert_eq!(due(&mut queues, 950), ["next"]);
+    assert_eq!(poll(&mut queues, 20), ["lost"]);
+    assert!(poll(&mut queues, 800).is_empty());
+    assert_eq!(poll(&mut queues, 950), ["next"]);
 }
 
 /// An answer ends before its turn comes; nobody waits for it.
 #[test]
-fn an_answer_that_ended_takes_no_turn() {
+fn finished_answer_leaves_the_queue() {
     let mut queues = Queues::new();
     queues.enqueue(at(0), &engine(), migration("ended", 4_000));
     queues.enqueue(at(0), &engine(), migration("next", 900));
     queues.finish(&engine(), "ended");
-    assert_eq!(due(&mut queues, 20), ["next"]);
+    assert_eq!(poll(&mut queues, 20), ["next"]);
 }
 
 /// Two engines leave at once; they have a link each.
 #[test]
-fn engines_have_queues_of_their_own() {
+fn engines_have_separate_queues() {
     let mut queues = Queues::new();
     let other: id::Target = "e-2".parse().expect("name");
     queues.enqueue(at(0), &engine(), migration("one", 10));
     queues.enqueue(at(0), &other, migration("two", 10));
-    assert_eq!(due(&mut queues, 20), ["one", "two"]);
+    assert_eq!(poll(&mut queues, 20), ["one", "two"]);
 }
--- a/crates/policy/tests/registry_restore.rs
+++ b/crates/policy/tests/registry_restore.rs
@@ -8,10 +8,10 @@
 use fireflyhoist_policy::time::Time;
 use yare::parameterized;
 
-const MEMBERS: usize = 300;
+const ENTRIES: usize = 300;
 
 /// Time between two heartbeats.
-const BEAT: Duration = Duration::from_millis(150);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Entries that read the registry for all.
 const READERS: usize = 2;
@@ -36,19 +36,19 @@
 
 /// A fleet that knows a list of the era before, and the registry as it came back.
 struct Fleet {
-    members: Vec<Leases>,
+    entries: Vec<Leases>,
     registry: (Position, BTreeMap<String, Target>),
     reads: usize,
 }
 
 impl Fleet {
     fn open(known: &[Target], listed: &[Target]) -> Self {
-        let mut members: Vec<Leases> = (0..MEMBERS).map(|_| Leases::default()).collect();
-        for leases in &mut members {
+        let mut entries: Vec<Leases> = (0..ENTRIES).map(|_| Leases::default()).collect();
+        for leases in &mut entries {
             leases.apply_list(at(0), Position::new(0, 900), known.to_vec());
         }
         let listed = listed.iter().map(|one| (one.id.to_string(), one.clone())).collect();
-        Self { members, registry: (Position::new(1, 40), listed), reads: 0 }
+        Self { entries, registry: (Position::new(1, 40), listed), reads: 0 }
     }
 
     fn write(&mut self, target: Target) {
@@ -58,77 +58,77 @@
 
     /// One heartbeat: those that read do, and each takes the list of the member before that knows more;
     /// the second half hears nothing before `late`.
-    fn beat(&mut self, now: Time, late: Time) {
+    fn heartbeat(&mut self, now: Time, late: Time) {
         let list: Vec<Target> = self.registry.1.values().cloned().collect();
         for nth in 0..READERS {
-            if self.members[nth].position() < self.registry.0 {
+            if self.entries[nth].position() < self.registry.0 {
                 self.reads += 1;
-                self.members[nth].apply_list(now, self.registry.0, list.clone());
+                self.entries[nth].apply_list(now, self.registry.0, list.clone());
             }
         }
-        let told: Vec<(Position, Vec<Target>)> = self.members[..READERS]
+        let announced: Vec<(Position, Vec<Target>)> = self.entries[..READERS]
             .iter()
             .map(|one| (one.position(), one.all().cloned().collect()))
             .collect();
-        for nth in READERS..MEMBERS {
-            let (position, targets) = &told[nth % READERS];
-            let hears = nth < MEMBERS / 2 || now >= late;
-            if hears && *position > self.members[nth].position() {
-                self.members[nth].apply_list(now, *position, targets.clone());
+        for nth in READERS..ENTRIES {
+            let (position, targets) = &announced[nth % READERS];
+            let receives = nth < ENTRIES / 2 || now >= late;
+            if receives && *position > self.entries[nth].position() {
+                self.entries[nth].apply_list(now, *position, targets.clone());
             }
-            self.members[nth].expire(now);
+            self.entries[nth].expire(now);
         }
-        (0..READERS).for_each(|nth| _ = self.members[nth].expire(now));
+        (0..READERS).for_each(|nth| _ = self.entries[nth].expire(now));
     }
 
-    fn play(&mut self, from: u64, to: u64, late: Time) {
-        let beat = u64::try_from(BEAT.as_millis()).expect("a short time");
-        (from..to).step_by(usize::try_from(beat).expect("a small number")).for_each(|ms| {
-            self.beat(at(ms), late);
+    fn run(&mut self, from: u64, to: u64, late: Time) {
+        let interval_ms = u64::try_from(HEARTBEAT_INTERVAL.as_millis()).expect("a short time");
+        (from..to).step_by(usize::try_from(interval_ms).expect("a small number")).for_each(|ms| {
+            self.heartbeat(at(ms), late);
         });
     }
 
-    fn using(&self, name: &str) -> usize {
+    fn ready_count(&self, name: &str) -> usize {
         let id = name.parse().expect("a name");
-        self.members.iter().filter(|one| one.is_ready(&id)).count()
+        self.entries.iter().filter(|one| one.is_ready(&id)).count()
     }
 }
 
 /// Guards against entries that know greater revisions of before outbidding those that read anew.
 #[parameterized(together = { 0 }, half_three_seconds_later = { 3_000 })]
-fn all_entries_hold_the_list_of_the_new_era(late: u64) {
+fn entries_adopt_the_list_of_the_new_era(late: u64) {
     let mut fleet = Fleet::open(&[target("old", 1)], &[target("old", 1), target("new", 2)]);
-    fleet.play(1_000, 1_300, at(1_000 + late));
-    let half = if late == 0 { MEMBERS } else { MEMBERS / 2 };
-    assert_eq!(fleet.using("new"), half);
-    fleet.play(1_300, 1_600 + late, at(1_000 + late));
-    assert_eq!(fleet.using("new"), MEMBERS);
+    fleet.run(1_000, 1_300, at(1_000 + late));
+    let half = if late == 0 { ENTRIES } else { ENTRIES / 2 };
+    assert_eq!(fleet.ready_count("new"), half);
+    fleet.run(1_300, 1_600 + late, at(1_000 + late));
+    assert_eq!(fleet.ready_count("new"), ENTRIES);
     assert_eq!(fleet.reads, READERS);
 }
 
 /// Guards against a target whose address another has since being used again by a copy that lists it.
 #[test]
-fn an_address_that_was_given_on_stays_with_its_new_target() {
-    let (gone, heir) = (target("gone", 7), target("heir", 7));
+fn reassigned_address_stays_with_its_new_target() {
+    let (gone, successor) = (target("gone", 7), target("successor", 7));
     let mut fleet = Fleet::open(&[gone.clone(), target("kept", 2)], std::slice::from_ref(&gone));
-    for leases in &mut fleet.members {
+    for leases in &mut fleet.entries {
         let draining = Target { state: State::Draining, ..gone.clone() };
         leases.apply_change(at(10), Position::new(0, 901), Change::Put(draining));
         leases.apply_change(at(20), Position::new(0, 902), Change::Gone(gone.id.clone()));
-        leases.apply_change(at(30), Position::new(0, 903), Change::Put(heir.clone()));
+        leases.apply_change(at(30), Position::new(0, 903), Change::Put(successor.clone()));
     }
-    fleet.play(1_000, 1_600, at(0));
-    assert_eq!((fleet.using("gone"), fleet.using("heir")), (0, MEMBERS));
-    fleet.write(heir);
-    fleet.play(1_600, 6_000, at(0));
-    assert_eq!((fleet.using("gone"), fleet.using("heir")), (0, MEMBERS));
+    fleet.run(1_000, 1_600, at(0));
+    assert_eq!((fleet.ready_count("gone"), fleet.ready_count("successor")), (0, ENTRIES));
+    fleet.write(successor);
+    fleet.run(1_600, 6_000, at(0));
+    assert_eq!((fleet.ready_count("gone"), fleet.ready_count("successor")), (0, ENTRIES));
     // What was not written again is gone by now.
-    assert_eq!(fleet.using("kept"), 0);
+    assert_eq!(fleet.ready_count("kept"), 0);
 }
 
 /// Guards against an entry that starts being told the list of before by one that has not heard yet.
 #[test]
-fn an_entry_that_starts_while_eras_differ_ends_with_the_new_one() {
+fn entry_that_starts_between_eras_ends_on_the_new_one() {
     let (old, new) = (target("old", 1), target("new", 2));
     let mut joined = Leases::default();
     joined.apply_list(at(0), Position::new(0, 900), vec![old.clone()]);
--- a/crates/policy/tests/support/cold_fleet.rs
+++ b/crates/policy/tests/support/cold_fleet.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// The way between two entries, and from an entry to a target.
-const WAY: Duration = Duration::from_millis(2);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
 
 /// By how much the ways of requests to targets differ.
 const JITTER_MS: u64 = 8;
@@ -23,84 +23,84 @@
 const TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The targets are cold from the beginning until then.
-pub(crate) const COLD: Duration = Duration::from_secs(6);
+pub(crate) const COLD_PERIOD: Duration = Duration::from_secs(6);
 
 /// How the bound is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Strategy {
     /// One entry keeps the bucket of a target.
     Owner,
     /// Each entry has its part of the rate.
-    Parts,
+    StaticShares,
     /// Each sends more as the target gets warm, and asks nobody.
     Ramp,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Traffic {
-    Everywhere,
+    AllEntries,
     OneEntry,
     /// Another one each second.
-    Moving,
+    Rotating,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum Fault {
     None,
     /// The halves can't reach each other.
     Partition,
     /// A third can't.
-    SmallSide,
+    UnevenPartition,
     /// The entries that decide start anew each second.
     Restarts,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Plan {
-    pub(crate) way: Way,
-    pub(crate) members: usize,
+pub(crate) struct Scenario {
+    pub(crate) strategy: Strategy,
+    pub(crate) entries: usize,
     /// Targets that are cold; all others are warm.
     pub(crate) targets: usize,
     /// Requests a second of all, each of which would rather go to a cold target.
-    pub(crate) asked: f64,
+    pub(crate) requests_per_second: f64,
     pub(crate) per_s: f64,
     pub(crate) excess: f64,
     pub(crate) margin: f64,
     pub(crate) traffic: Traffic,
-    pub(crate) trouble: Trouble,
+    pub(crate) fault: Fault,
 }
 
-impl Default for Plan {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
-            way: Way::Owner,
-            members: 30,
+            strategy: Strategy::Owner,
+            entries: 30,
             targets: 15,
-            asked: 200.0,
+            requests_per_second: 200.0,
             per_s: 1.0,
             excess: 1.5,
             margin: 0.0,
-            traffic: Traffic::Everywhere,
-            trouble: Trouble::None,
+            traffic: Traffic::AllEntries,
+            fault: Fault::None,
         }
     }
 }
 
 /// What came of it.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct Results {
     /// Requests that reached each cold target.
     arrivals: Vec<Vec<Time>>,
-    pub(crate) elsewhere: usize,
+    pub(crate) sent_elsewhere: usize,
     /// Questions to the entries that decide.
-    pub(crate) questions: usize,
+    pub(crate) owner_requests: usize,
     /// The longest that any request was kept from a target.
-    pub(crate) longest: Duration,
+    pub(crate) max_wait: Duration,
 }
 
-impl Seen {
+impl Results {
     /// The most that any target got in any second.
-    pub(crate) fn most(&self) -> usize {
+    pub(crate) fn max_per_second(&self) -> usize {
         let second = Duration::from_secs(1);
         let of = |arrivals: &Vec<Time>| {
             let within = |(n, first): (usize, &Time)| {
@@ -112,177 +112,193 @@
     }
 
     /// The part of what cold targets take that they got.
-    pub(crate) fn used(&self, plan: &Plan) -> f64 {
+    pub(crate) fn utilization(&self, scenario: &Scenario) -> f64 {
         let got: usize = self.arrivals.iter().map(Vec::len).sum();
-        got as f64 / (plan.per_s * COLD.as_secs_f64() * plan.targets as f64)
+        got as f64 / (scenario.per_s * COLD_PERIOD.as_secs_f64() * scenario.targets as f64)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ask { member: usize, asked: Time },
-    Decide { member: usize, target: usize, asked: Time, keeper: usize },
+    Request { entry: usize, requested_at: Time },
+    Decide { entry: usize, target: usize, requested_at: Time, owner: usize },
     Arrive { target: usize },
 }
 
-struct Member {
-    keeper: Buckets,
-    closed: Vec<Time>,
-    /// What is left of its own part, for [`Way::Parts`].
-    own: Vec<(f64, Time)>,
+struct Entry {
+    buckets: Buckets,
+    blocked_until: Vec<Time>,
+    /// What is left of its own part, for [`Strategy::StaticShares`].
+    share_buckets: Vec<(f64, Time)>,
 }
 
-pub(crate) struct World {
-    plan: Plan,
+pub(crate) struct Simulation {
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now: Time,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     sequence: u64,
-    members: Vec<Member>,
+    entries: Vec<Entry>,
     names: Vec<(usize, String)>,
     targets: Vec<id::Target>,
-    seen: Seen,
+    results: Results,
 }
 
-impl World {
-    pub(crate) fn open(plan: Plan) -> Self {
-        let targets = (0..plan.targets).map(|n| format!("t-{n}").parse().expect("a name"));
-        let member = |_| Member {
-            keeper: Buckets::default(),
-            closed: vec![Time::ZERO; plan.targets],
-            own: vec![(0.0, Time::ZERO); plan.targets],
+impl Simulation {
+    pub(crate) fn new(scenario: Scenario) -> Self {
+        let targets = (0..scenario.targets).map(|n| format!("t-{n}").parse().expect("a name"));
+        let entry = |_| Entry {
+            buckets: Buckets::default(),
+            blocked_until: vec![Time::ZERO; scenario.targets],
+            share_buckets: vec![(0.0, Time::ZERO); scenario.targets],
         };
-        let mut world = Self {
+        let mut simulation = Self {
             rng: ChaCha8Rng::seed_from_u64(3),
             now: Time::ZERO,
             events: BinaryHeap::new(),
             sequence: 0,
-            members: (0..plan.members).map(member).collect(),
-            names: (0..plan.members).map(|n| (n, format!("entry-{n}"))).collect(),
+            entries: (0..scenario.entries).map(entry).collect(),
+            names: (0..scenario.entries).map(|n| (n, format!("entry-{n}"))).collect(),
             targets: targets.collect(),
-            seen: Seen { arrivals: vec![Vec::new(); plan.targets], ..Seen::default() },
-            plan,
+            results: Results { arrivals: vec![Vec::new(); scenario.targets], ..Results::default() },
+            scenario,
         };
-        for nth in 0..plan.members {
+        for nth in 0..scenario.entries {
             // All were alive before, and those of its own side are now.
-            let own = (0..plan.members).filter(|other| world.reaches(nth, *other)).count();
-            let keeper = &mut world.members[nth].keeper;
-            keeper.set_alive(Time::ZERO, plan.members);
-            keeper.set_alive(Time::ZERO, own);
+            let reachable =
+                (0..scenario.entries).filter(|other| simulation.can_reach(nth, *other)).count();
+            let buckets = &mut simulation.entries[nth].buckets;
+            buckets.set_alive(Time::ZERO, scenario.entries);
+            buckets.set_alive(Time::ZERO, reachable);
         }
-        world
+        simulation
     }
 
-    pub(crate) fn play(mut self) -> Seen {
-        let count = (self.plan.asked * COLD.as_secs_f64()) as usize;
-        for _ in 0..count {
-            let at = Duration::from_secs_f64(self.rng.random_range(0.0..COLD.as_secs_f64()));
-            let member = match self.plan.traffic {
-                Traffic::Everywhere => self.rng.random_range(0..self.plan.members),
+    pub(crate) fn run(mut self) -> Results {
+        let requests = (self.scenario.requests_per_second * COLD_PERIOD.as_secs_f64()) as usize;
+        for _ in 0..requests {
+            let at = Duration::from_secs_f64(self.rng.random_range(0.0..COLD_PERIOD.as_secs_f64()));
+            let entry = match self.scenario.traffic {
+                Traffic::AllEntries => self.rng.random_range(0..self.scenario.entries),
                 Traffic::OneEntry => 0,
-                Traffic::Moving => at.as_secs() as usize * 7 % self.plan.members,
+                Traffic::Rotating => at.as_secs() as usize * 7 % self.scenario.entries,
             };
-            let asked = Time::ZERO + at;
-            self.at(at, Event::Ask { member, asked });
+            let requested_at = Time::ZERO + at;
+            self.schedule(at, Event::Request { entry, requested_at });
         }
         let mut second = 0;
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             self.now = now;
-            if self.plan.trouble == Trouble::Restarts && now.since(Time::ZERO).as_secs() > second {
+            if self.scenario.fault == Fault::Restarts && now.since(Time::ZERO).as_secs() > second {
                 second += 1;
-                self.members.iter_mut().for_each(|member| {
-                    member.keeper = Buckets::default();
-                    member.keeper.set_alive(now, self.plan.members);
+                self.entries.iter_mut().for_each(|entry| {
+                    entry.buckets = Buckets::default();
+                    entry.buckets.set_alive(now, self.scenario.entries);
                 });
             }
             match event {
-                Event::Ask { member, asked } => self.ask(member, asked),
-                Event::Decide { member, target, asked, keeper } => {
-                    self.decide(member, target, asked, keeper);
+                Event::Request { entry, requested_at } => self.route(entry, requested_at),
+                Event::Decide { entry, target, requested_at, owner } => {
+                    self.decide(entry, target, requested_at, owner);
                 }
-                Event::Arrive { target } => self.seen.arrivals[target].push(now),
+                Event::Arrive { target } => self.results.arrivals[target].push(now),
             }
         }
-        self.seen
+        self.results
     }
 
-    fn at(&mut self, after: Duration, event: Event) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((self.now + after, self.sequence, event)));
     }
 
-    fn reaches(&self, one: usize, other: usize) -> bool {
-        match self.plan.trouble {
-            Trouble::Partition => one % 2 == other % 2,
-            Trouble::SmallSide => one.is_multiple_of(3) == other.is_multiple_of(3),
-            Trouble::None | Trouble::Restarts => true,
+    fn can_reach(&self, one: usize, other: usize) -> bool {
+        match self.scenario.fault {
+            Fault::Partition => one % 2 == other % 2,
+            Fault::UnevenPartition => one.is_multiple_of(3) == other.is_multiple_of(3),
+            Fault::None | Fault::Restarts => true,
         }
     }
 
     fn cold_limit(&self) -> Limit {
-        let Plan { per_s, excess, margin, .. } = self.plan;
+        let Scenario { per_s, excess, margin, .. } = self.scenario;
         Limit { per_s: RequestRate::new(per_s), excess, margin }
     }
 
-    fn ask(&mut self, member: usize, asked: Time) {
-        let waited = self.now.since(asked);
-        self.seen.longest = self.seen.longest.max(waited);
-        let closed = &self.members[member].closed;
-        let open: Vec<usize> = (0..self.plan.targets).filter(|n| closed[*n] <= self.now).collect();
-        if open.is_empty() || waited >= TIMEOUT {
-            self.seen.elsewhere += 1;
+    fn route(&mut self, entry: usize, requested_at: Time) {
+        let waited = self.now.since(requested_at);
+        self.results.max_wait = self.results.max_wait.max(waited);
+        let blocked_until = &self.entries[entry].blocked_until;
+        let available: Vec<usize> =
+            (0..self.scenario.targets).filter(|n| blocked_until[*n] <= self.now).collect();
+        if available.is_empty() || waited >= TIMEOUT {
+            self.results.sent_elsewhere += 1;
             return;
         }
-        let target = open[self.rng.random_range(0..open.len())];
-        match self.plan.way {
-            Way::Owner => {
+        let target = available[self.rng.random_range(0..available.len())];
+        match self.scenario.strategy {
+            Strategy::Owner => {
                 let reached: Vec<(usize, String)> =
-                    self.names.iter().filter(|(n, _)| self.reaches(member, *n)).cloned().collect();
+                    self.names.iter().filter(|(n, _)| self.can_reach(entry, *n)).cloned().collect();
                 let ranked = rendezvous::rank(self.targets[target].as_str(), &reached, |(_, n)| n);
-                let keeper = ranked[0].0;
-                let way = if keeper == member { Duration::ZERO } else { WAY };
-                self.seen.questions += 1;
-                self.at(way, Event::Decide { member, target, asked, keeper });
+                let owner = ranked[0].0;
+                let delay = if owner == entry { Duration::ZERO } else { ONE_WAY_DELAY };
+                self.results.owner_requests += 1;
+                self.schedule(delay, Event::Decide { entry, target, requested_at, owner });
             }
-            Way::Parts => {
-                let rate = self.plan.per_s / self.plan.members as f64;
-                let (tokens, filled) = &mut self.members[member].own[target];
-                *tokens = (*tokens + rate * self.now.since(*filled).as_secs_f64()).min(1.0);
-                *filled = self.now;
+            Strategy::StaticShares => {
+                let rate = self.scenario.per_s / self.scenario.entries as f64;
+                let (tokens, filled_at) = &mut self.entries[entry].share_buckets[target];
+                *tokens = (*tokens + rate * self.now.since(*filled_at).as_secs_f64()).min(1.0);
+                *filled_at = self.now;
                 if *tokens >= 1.0 {
                     *tokens -= 1.0;
                     self.send(target);
                 } else {
-                    self.close(member, target, Duration::from_millis(50), asked, Duration::ZERO);
+                    self.block(
+                        entry,
+                        target,
+                        Duration::from_millis(50),
+                        requested_at,
+                        Duration::ZERO,
+                    );
                 }
             }
-            Way::Ramp => {
-                let warm = self.now.since(Time::ZERO).as_secs_f64() / COLD.as_secs_f64();
-                match self.rng.random_bool(warm.min(1.0)) {
+            Strategy::Ramp => {
+                let warm_fraction =
+                    self.now.since(Time::ZERO).as_secs_f64() / COLD_PERIOD.as_secs_f64();
+                match self.rng.random_bool(warm_fraction.min(1.0)) {
                     true => self.send(target),
-                    false => self.seen.elsewhere += 1,
+                    false => self.results.sent_elsewhere += 1,
                 }
             }
         }
     }
 
-    fn decide(&mut self, member: usize, target: usize, asked: Time, keeper: usize) {
+    fn decide(&mut self, entry: usize, target: usize, requested_at: Time, owner: usize) {
         let allowance = Allowance { advertised: None, cold: Some(self.cold_limit()) };
         let (now, id) = (self.now, self.targets[target].clone());
-        let way = if keeper == member { Duration::ZERO } else { WAY };
-        match self.members[keeper].keeper.try_send(now, &id, &allowance) {
+        let delay = if owner == entry { Duration::ZERO } else { ONE_WAY_DELAY };
+        match self.entries[owner].buckets.try_send(now, &id, &allowance) {
             None => self.send(target),
-            Some(wait) => self.close(member, target, wait, asked, way),
+            Some(wait) => self.block(entry, target, wait, requested_at, delay),
         }
     }
 
-    fn close(&mut self, member: usize, target: usize, wait: Duration, asked: Time, way: Duration) {
-        self.members[member].closed[target] = self.now + wait;
-        self.at(way, Event::Ask { member, asked });
+    fn block(
+        &mut self,
+        entry: usize,
+        target: usize,
+        wait: Duration,
+        requested_at: Time,
+        delay: Duration,
+    ) {
+        self.entries[entry].blocked_until[target] = self.now + wait;
+        self.schedule(delay, Event::Request { entry, requested_at });
     }
 
     fn send(&mut self, target: usize) {
         let jitter = Duration::from_millis(self.rng.random_range(0..JITTER_MS));
-        self.at(WAY * 2 + jitter, Event::Arrive { target });
+        self.schedule(ONE_WAY_DELAY * 2 + jitter, Event::Arrive { target });
     }
 }
--- a/crates/policy/tests/support/limited_fleet.rs
+++ b/crates/policy/tests/support/limited_fleet.rs
@@ -14,18 +14,18 @@
 use rand_chacha::ChaCha8Rng;
 
 /// From what one entry notes until the others hear of it.
-const TOLD: Duration = Duration::from_millis(30);
+const ANNOUNCE_DELAY: Duration = Duration::from_millis(30);
 
 /// From a question to the entry that decides, and from a request to its answer.
-const WAY: Duration = Duration::from_millis(2);
-const ANSWER: Duration = Duration::from_millis(25);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
+const ANSWER_TIME: Duration = Duration::from_millis(25);
 
 /// When the target begins to name its limit, and from when it is to be kept to.
-pub(crate) const NAMED: Duration = Duration::from_secs(5);
-pub(crate) const STABLE: Duration = Duration::from_secs(10);
+pub(crate) const ADVERTISED_FROM: Duration = Duration::from_secs(5);
+pub(crate) const ENFORCED_FROM: Duration = Duration::from_secs(10);
 
 /// The span of the bound.
-const SPAN: Duration = Duration::from_secs(4);
+const WINDOW: Duration = Duration::from_secs(4);
 
 /// A target as it is listed.
 pub(crate) fn target(name: &str, start: Option<u64>) -> Target {
@@ -45,51 +45,51 @@
 /// Which entries callers use.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Traffic {
-    Everywhere,
+    AllEntries,
     OneEntry,
     /// Another one each second.
-    Moving,
+    Rotating,
 }
 
 /// What happens to entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum Fault {
     None,
     /// The halves can't reach each other from 12 to 30 s.
     Partition,
     /// The entry that decides is started anew each two seconds.
     Restarts,
     /// Entries join, one each second.
-    Joins,
+    EntriesJoin,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Plan {
-    pub(crate) members: usize,
+pub(crate) struct Scenario {
+    pub(crate) entries: usize,
     /// Requests a second.
-    pub(crate) asked: f64,
-    /// The limit from [`NAMED`] on, by the second.
+    pub(crate) requests_per_second: f64,
+    /// The limit from [`ADVERTISED_FROM`] on, by the second.
     pub(crate) limit: fn(u64) -> Option<f64>,
     pub(crate) traffic: Traffic,
-    pub(crate) trouble: Trouble,
+    pub(crate) fault: Fault,
     pub(crate) seconds: u64,
 }
 
 /// What came of it.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct Results {
     /// Requests that reached the target.
     pub(crate) arrivals: Vec<Time>,
     /// Requests that another target got.
-    pub(crate) elsewhere: usize,
+    pub(crate) sent_elsewhere: usize,
 }
 
-impl Seen {
-    /// The most in [`SPAN`] from a second on.
-    pub(crate) fn most(&self, from: Duration) -> usize {
+impl Results {
+    /// The most in [`WINDOW`] from a second on.
+    pub(crate) fn max_in_window(&self, from: Duration) -> usize {
         let arrivals = || self.arrivals.iter().filter(|at| **at >= Time::ZERO + from);
         let within = |first: &Time| {
-            let (first, end) = (*first, *first + SPAN);
+            let (first, end) = (*first, *first + WINDOW);
             self.arrivals.iter().filter(|at| **at >= first && **at < end).count()
         };
         arrivals().map(within).max().unwrap_or_default()
@@ -105,169 +105,172 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ask { member: usize },
-    Decide { member: usize },
-    Arrive { member: usize, sent: Time },
-    Answer { member: usize, sent: Time, limit: Option<u64> },
-    Flush { member: usize },
+    Request { entry: usize },
+    Decide { entry: usize },
+    Arrive { entry: usize, sent_at: Time },
+    Answer { entry: usize, sent_at: Time, limit: Option<u64> },
+    Flush { entry: usize },
     Second(u64),
 }
 
 #[derive(Debug, Default)]
-struct Member {
+struct Entry {
     limits: Limits,
-    keeper: Buckets,
-    closed: Time,
+    buckets: Buckets,
+    blocked_until: Time,
     up: bool,
 }
 
-pub(crate) struct World {
-    plan: Plan,
+pub(crate) struct Simulation {
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now: Time,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     sequence: u64,
-    members: Vec<Member>,
+    entries: Vec<Entry>,
     names: Vec<(usize, String)>,
     target: Target,
-    seen: Seen,
+    results: Results,
 }
 
-impl World {
-    pub(crate) fn open(plan: Plan) -> Self {
-        let up = |nth| plan.trouble != Trouble::Joins || nth * 2 < plan.members;
-        let members = (0..plan.members).map(|nth| Member { up: up(nth), ..Member::default() });
+impl Simulation {
+    pub(crate) fn new(scenario: Scenario) -> Self {
+        let up = |nth| scenario.fault != Fault::EntriesJoin || nth * 2 < scenario.entries;
+        let entries = (0..scenario.entries).map(|nth| Entry { up: up(nth), ..Entry::default() });
         Self {
             rng: ChaCha8Rng::seed_from_u64(11),
             now: Time::ZERO,
             events: BinaryHeap::new(),
             sequence: 0,
-            members: members.collect(),
-            names: (0..plan.members).map(|nth| (nth, format!("entry-{nth}"))).collect(),
+            entries: entries.collect(),
+            names: (0..scenario.entries).map(|nth| (nth, format!("entry-{nth}"))).collect(),
             target: target("t-1", Some(1)),
-            seen: Seen::default(),
-            plan,
+            results: Results::default(),
+            scenario,
         }
     }
 
-    pub(crate) fn play(mut self) -> Seen {
-        (0..self.plan.seconds).for_each(|s| self.at(Duration::from_secs(s), Event::Second(s)));
+    pub(crate) fn run(mut self) -> Results {
+        (0..self.scenario.seconds)
+            .for_each(|s| self.schedule(Duration::from_secs(s), Event::Second(s)));
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             self.now = now;
-            self.take(event);
+            self.handle(event);
         }
-        self.seen
+        self.results
     }
 
-    fn at(&mut self, after: Duration, event: Event) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((self.now + after, self.sequence, event)));
     }
 
-    fn reaches(&self, one: usize, other: usize) -> bool {
+    fn can_reach(&self, one: usize, other: usize) -> bool {
         let second = self.now.as_secs_f64();
-        let cut = self.plan.trouble == Trouble::Partition && (12.0..30.0).contains(&second);
-        self.members[other].up && !(cut && one % 2 != other % 2)
+        let partitioned = self.scenario.fault == Fault::Partition && (12.0..30.0).contains(&second);
+        self.entries[other].up && !(partitioned && one % 2 != other % 2)
     }
 
     /// The entry that decides, as one of them sees it.
-    fn keeper(&self, member: usize) -> usize {
+    fn owner(&self, entry: usize) -> usize {
         let reached: Vec<(usize, String)> =
-            self.names.iter().filter(|(nth, _)| self.reaches(member, *nth)).cloned().collect();
+            self.names.iter().filter(|(nth, _)| self.can_reach(entry, *nth)).cloned().collect();
         rendezvous::rank(self.target.id.as_str(), &reached, |(_, name)| name)[0].0
     }
 
-    fn second(&mut self, second: u64) {
-        match self.plan.trouble {
-            Trouble::Restarts if second.is_multiple_of(2) => {
-                let keeper = self.keeper(0);
-                self.members[keeper] = Member { up: true, ..Member::default() };
-                let known =
-                    self.members[(keeper + 1) % self.plan.members].limits.all_updates(self.now);
-                self.members[keeper].limits.apply(self.now, known);
+    fn start_second(&mut self, second: u64) {
+        match self.scenario.fault {
+            Fault::Restarts if second.is_multiple_of(2) => {
+                let owner = self.owner(0);
+                self.entries[owner] = Entry { up: true, ..Entry::default() };
+                let updates =
+                    self.entries[(owner + 1) % self.scenario.entries].limits.all_updates(self.now);
+                self.entries[owner].limits.apply(self.now, updates);
             }
-            Trouble::Joins => {
-                if let Some(nth) = self.members.iter().position(|member| !member.up) {
-                    let known = self.members[0].limits.all_updates(self.now);
-                    self.members[nth].up = true;
-                    self.members[nth].limits.apply(self.now, known);
+            Fault::EntriesJoin => {
+                if let Some(nth) = self.entries.iter().position(|entry| !entry.up) {
+                    let updates = self.entries[0].limits.all_updates(self.now);
+                    self.entries[nth].up = true;
+                    self.entries[nth].limits.apply(self.now, updates);
                 }
             }
             _ => {}
         }
-        for nth in 0..self.plan.members {
-            let alive = (0..self.plan.members).filter(|other| self.reaches(nth, *other)).count();
-            self.members[nth].keeper.set_alive(self.now, alive);
+        for nth in 0..self.scenario.entries {
+            let alive =
+                (0..self.scenario.entries).filter(|other| self.can_reach(nth, *other)).count();
+            self.entries[nth].buckets.set_alive(self.now, alive);
         }
-        let up: Vec<usize> = (0..self.plan.members).filter(|nth| self.members[*nth].up).collect();
-        for _ in 0..self.plan.asked as usize {
-            let member = match self.plan.traffic {
-                Traffic::Everywhere => up[self.rng.random_range(0..up.len())],
+        let up: Vec<usize> =
+            (0..self.scenario.entries).filter(|nth| self.entries[*nth].up).collect();
+        for _ in 0..self.scenario.requests_per_second as usize {
+            let entry = match self.scenario.traffic {
+                Traffic::AllEntries => up[self.rng.random_range(0..up.len())],
                 Traffic::OneEntry => up[0],
-                Traffic::Moving => up[second as usize % up.len()],
+                Traffic::Rotating => up[second as usize % up.len()],
             };
             let after = Duration::from_secs_f64(self.rng.random());
-            self.at(after, Event::Ask { member });
+            self.schedule(after, Event::Request { entry });
         }
     }
 
     fn limit(&self) -> Option<f64> {
         let second = self.now.as_secs_f64() as u64;
-        (second >= NAMED.as_secs()).then(|| (self.plan.limit)(second)).flatten()
+        (second >= ADVERTISED_FROM.as_secs()).then(|| (self.scenario.limit)(second)).flatten()
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let id = self.target.id.clone();
         match event {
-            Event::Second(second) => self.second(second),
-            Event::Ask { member } => {
-                if self.members[member].closed > self.now {
-                    self.seen.elsewhere += 1;
-                } else if self.members[member].limits.limit(&id).is_some() {
-                    self.at(WAY, Event::Decide { member });
+            Event::Second(second) => self.start_second(second),
+            Event::Request { entry } => {
+                if self.entries[entry].blocked_until > self.now {
+                    self.results.sent_elsewhere += 1;
+                } else if self.entries[entry].limits.limit(&id).is_some() {
+                    self.schedule(ONE_WAY_DELAY, Event::Decide { entry });
                 } else {
-                    self.at(WAY, Event::Arrive { member, sent: self.now });
+                    self.schedule(ONE_WAY_DELAY, Event::Arrive { entry, sent_at: self.now });
                 }
             }
-            Event::Decide { member } => self.decide(member),
-            Event::Arrive { member, sent } => {
-                self.seen.arrivals.push(self.now);
+            Event::Decide { entry } => self.decide(entry),
+            Event::Arrive { entry, sent_at } => {
+                self.results.arrivals.push(self.now);
                 let limit = self.limit().map(|limit| (limit * 1e3) as u64);
-                self.at(ANSWER, Event::Answer { member, sent, limit });
+                self.schedule(ANSWER_TIME, Event::Answer { entry, sent_at, limit });
             }
-            Event::Answer { member, sent, limit } => {
+            Event::Answer { entry, sent_at, limit } => {
                 let rate = |limit: u64| Advertisement::Limit(RequestRate::new(limit as f64 / 1e3));
-                let said = limit.map_or(Advertisement::Absent, rate);
+                let advertised = limit.map_or(Advertisement::Absent, rate);
                 let target = self.target.clone();
-                self.members[member].limits.record_answer(self.now, &target, sent, said);
-                self.at(TOLD, Event::Flush { member });
+                self.entries[entry].limits.record_answer(self.now, &target, sent_at, advertised);
+                self.schedule(ANNOUNCE_DELAY, Event::Flush { entry });
             }
-            Event::Flush { member } => {
-                let news = self.members[member].limits.take_updates(self.now);
-                for other in 0..if news.is_empty() { 0 } else { self.plan.members } {
-                    if other != member && self.reaches(member, other) {
-                        self.members[other].limits.apply(self.now, news.clone());
+            Event::Flush { entry } => {
+                let updates = self.entries[entry].limits.take_updates(self.now);
+                for other in 0..if updates.is_empty() { 0 } else { self.scenario.entries } {
+                    if other != entry && self.can_reach(entry, other) {
+                        self.entries[other].limits.apply(self.now, updates.clone());
                     }
                 }
             }
         }
     }
 
-    fn decide(&mut self, member: usize) {
-        let (id, keeper, now) = (self.target.id.clone(), self.keeper(member), self.now);
-        let word = self.members[member].limits.to_update(now, &id);
-        let decides = &mut self.members[keeper];
-        decides.limits.apply(now, word.into_iter().collect());
-        let wait = decides.limits.limit(&id).and_then(|limit| {
+    fn decide(&mut self, entry: usize) {
+        let (id, owner, now) = (self.target.id.clone(), self.owner(entry), self.now);
+        let update = self.entries[entry].limits.to_update(now, &id);
+        let deciding = &mut self.entries[owner];
+        deciding.limits.apply(now, update.into_iter().collect());
+        let wait = deciding.limits.limit(&id).and_then(|limit| {
             let allowance = Allowance { advertised: Some(limit), cold: None };
-            decides.keeper.try_send(now, &id, &allowance)
+            deciding.buckets.try_send(now, &id, &allowance)
         });
         match wait {
             Some(wait) => {
-                self.members[member].closed = now + wait;
-                self.seen.elsewhere += 1;
+                self.entries[entry].blocked_until = now + wait;
+                self.results.sent_elsewhere += 1;
             }
-            None => self.at(WAY, Event::Arrive { member, sent: now }),
+            None => self.schedule(ONE_WAY_DELAY, Event::Arrive { entry, sent_at: now }),
         }
     }
 }
--- a/crates/policy/tests/workspace_limit.rs
+++ b/crates/policy/tests/workspace_limit.rs
@@ -25,7 +25,7 @@
 /// One workspace opens streams through all eight entries at once. Without a division it would get
 /// its limit eight times, and the other members' pages would wait behind it all night.
 #[test]
-fn a_workspace_gets_its_streams_once_however_many_entries_it_uses() {
+fn stream_limit_holds_across_all_entries() {
     let published = hosts(8);
     let limit = Limit { streams: Some(10), rate: None };
     let mut open = 0;
@@ -39,7 +39,7 @@
 /// A workspace keeps to the entry that it was told to use. With equal parts it would get an
 /// eighth of what the operators allow.
 #[test]
-fn the_entry_that_a_workspace_is_told_to_use_has_half_of_its_limit() {
+fn first_ranked_entry_has_half_of_the_limit() {
     let published = hosts(8);
     let ranked = fireflyhoist_policy::rendezvous::rank("archive", &published, Host::as_str);
     assert_eq!(Part::of(&workspace(), ranked[0], &published).streams(10), 5);
@@ -48,7 +48,7 @@
 /// One answer runs to tens of thousands of tokens. It is finished, and what it overdrew is
 /// earned back before the workspace's next one begins; the refusal says when that is.
 #[test]
-fn tokens_overdrawn_are_earned_back_and_the_refusal_says_when() {
+fn refusal_lasts_until_overdrawn_tokens_are_refilled() {
     let published = hosts(1);
     let limit = Limit { streams: None, rate: Some(TokenRate::new(100.0)) };
     let mut limits = entry(&published[0], &published, limit);
@@ -62,7 +62,7 @@
 /// A host drops out of the published list but has not heard of it and goes on using its part.
 /// The others grow by small steps, so that the workspace does not get both parts at once.
 #[test]
-fn a_part_shrinks_at_once_and_grows_by_steps() {
+fn part_shrinks_at_once_and_grows_gradually() {
     let published = hosts(2);
     let limit = Limit { streams: Some(100), rate: None };
     let own = &published[0];
