--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -1,9 +1,10 @@
-//! Targets that are cold: they started a short while ago, and more than so many requests a second from all
-//! entries together make them crash.
+//! Cold targets: targets that started recently and crash if all entries together send them more
+//! than a certain number of requests a second.
 //!
-//! Pattern `cold-return`: a failure domain comes back at once, its targets look emptiest to every entry,
-//! and each sends there what it has waiting. A cold target is one whose limit is known beforehand: entries ask
-//! the one that [keeps its bucket](crate::token_bucket) before each send.
+//! When a failure domain returns, its targets are the least loaded that any entry sees, and every
+//! entry would send its queued requests there at once. Since the limit of a cold target is known in
+//! advance, entries ask the entry that owns the target's [token bucket](crate::token_bucket) before
+//! each send.
 
 use std::time::Duration;
 
@@ -13,41 +14,41 @@
 use crate::lease::Start;
 use crate::unit::RequestRate;
 
-/// How a service's targets start, as its operators declare it.
+/// How the targets of a service warm up, as configured by its operators.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Warmup {
-    /// How long a target is cold after its start.
+    /// How long a target is cold after it starts.
     pub lasts: Duration,
-    /// Requests a second that it takes meanwhile.
+    /// Requests a second that a cold target takes.
     pub per_s: RequestRate,
 }
 
-/// What a cold target may get.
+/// The limit of a cold target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     /// Requests a second that it takes.
     pub per_s: RequestRate,
-    /// How many times that it may get in one second.
+    /// The factor by which a single second may exceed `per_s`.
     pub excess: f64,
-    /// Requests that it may get in one second beyond that.
+    /// Requests that a single second may have in addition to `per_s * excess`.
     pub margin: f64,
 }
 
 impl Limit {
-    /// The most requests that it may get in any second.
+    /// Returns the largest whole number of requests that the target may get in any second.
     pub fn max_per_second(&self) -> f64 {
         (self.per_s.get() * self.excess + self.margin).max(0.0).floor()
     }
 }
 
-/// What one entry tells another of one target.
+/// The cold state of one target, as entries announce it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The target.
     pub target: id::Target,
-    /// Which start of it.
+    /// The start of the target that this is about, if the target reports its start.
     pub start: Option<Start>,
-    /// For how many milliseconds it stays cold.
+    /// For how many milliseconds the target is still cold.
     #[serde(rename = "left")]
     pub remaining_ms: u64,
 }
--- a/crates/policy/src/cordon.rs
+++ b/crates/policy/src/cordon.rs
@@ -1,8 +1,8 @@
-//! Failure domains that are cordoned: nothing new is sent to their targets.
+//! Cordoned failure domains, whose targets get no new requests.
 //!
-//! Operators set and lift cordons in the registry. Each entry holds the whole set together with where
-//! in the registry's history it was read, and the newest reading wins, whoever did it: a removal is
-//! news just as much as a beginning. `docs/DESIGN.md` has the section "Cordons".
+//! Operators set and lift cordons in the registry. Each entry holds the whole set together with the
+//! registry position at which it was read. The set with the newest position wins, whichever entry
+//! read it, so that lifted cordons spread in the same way as new ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,79 +14,85 @@
 use crate::position::Position;
 use crate::time::Time;
 
-/// How long the targets of a domain count as cold after its cordon was lifted, whatever their leases
-/// say: a lease is renewed each second or so, and what it said before is old.
+/// How long the targets of a domain count as cold after its cordon was lifted, whatever their
+/// leases say: leases are renewed about once a second, so their cold state may be out of date.
+/// Heartbeats also announce a lift, and the first set that was read, for this long.
 pub const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// The most domains that are kept; a registry with more is not an operator's work.
+/// The most domains that are kept, to bound memory. Operators do not cordon as many; a registry
+/// that lists more has another writer.
 pub const MAX_DOMAINS: usize = 1_024;
 
-/// What a registry tells of one domain.
+/// A change of one cordon in the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// It is cordoned.
+    /// The domain was cordoned.
     Set(id::Domain),
-    /// It is no more.
+    /// The cordon of the domain was lifted.
     Lifted(id::Domain),
 }
 
-/// What entries tell each other.
+/// The set of cordoned domains, as entries announce it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Where in the registry's history the set was read.
+    /// The registry position at which the set was read.
     #[serde(rename = "at")]
     pub position: Position,
-    /// The domains that are cordoned. Those that a registry lacked as it came back from a copy have the
-    /// milliseconds for which they still count.
+    /// The cordoned domains. A domain that was missing after the registry was restored from a copy
+    /// has the number of milliseconds for which it still counts as cordoned.
     pub domains: BTreeMap<id::Domain, Option<u64>>,
 }
 
-/// The cordons that one entry knows.
+/// The cordons known to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Cordons {
-    /// Where the set was read; `None` before the first reading.
+    /// The registry position of the set; `None` before the first reading.
     position: Option<Position>,
-    /// When it was first known here.
+    /// When this entry first knew the set.
     known_since: Time,
-    /// The domains that are cordoned, and until when where the registry lacked them as it came back.
+    /// The cordoned domains. A domain that was missing after the registry was restored has the time
+    /// until which it still counts as cordoned.
     domains: BTreeMap<id::Domain, Option<Time>>,
-    /// When cordons were lifted that are not [settled](SETTLE_TIME) yet.
+    /// When cordons were lifted, for those within the last [`SETTLE_TIME`].
     lifted: BTreeMap<id::Domain, Time>,
 }
 
 impl Cordons {
-    /// Whether it is known which domains are cordoned.
+    /// Returns whether the set has been read, here or by another entry.
     pub fn is_known(&self) -> bool {
         self.position.is_some()
     }
 
-    /// Where the set was read.
+    /// Returns the registry position of the set; the default position before the first reading.
     pub fn position(&self) -> Position {
         self.position.unwrap_or_default()
     }
 
-    /// Whether nothing new is sent to a domain.
+    /// Returns whether a domain is cordoned.
     pub fn contains(&self, domain: &id::Domain) -> bool {
         self.domains.contains_key(domain)
     }
 
-    /// The domains that get nothing new.
+    /// Returns the cordoned domains.
     pub fn all(&self) -> impl Iterator<Item = &id::Domain> {
         self.domains.keys()
     }
 
-    /// For how long the targets of a domain count as cold because its cordon was lifted just now.
+    /// Returns for how long the targets of a domain still count as cold because its cordon was
+    /// lifted; zero if it was not lifted recently.
     pub fn settle_remaining(&self, now: Time, domain: &id::Domain) -> Duration {
         self.lifted
             .get(domain)
             .map_or(Duration::ZERO, |lifted_at| (*lifted_at + SETTLE_TIME).since(now))
     }
 
-    /// Takes in all cordons as read at a position; returns whether the set is another now.
+    /// Applies the full list of cordons that was read at `position`, and returns whether the set of
+    /// cordoned domains changed.
     ///
-    /// The first list of a later era is of a registry that came back from a copy: a cordon that it lacks
-    /// may be about to be written again, so it counts for as long as that takes.
+    /// The first list of a later era comes from a registry that was restored from an older copy. A
+    /// cordon that is missing there may be about to be written again, so it stays in force for
+    /// [`REJOIN_GRACE`].
     pub fn apply_list(
         &mut self,
         now: Time,
@@ -109,7 +115,8 @@
         self.replace(now, new)
     }
 
-    /// Takes in changes that were read at a position; returns whether the set is another now.
+    /// Applies changes that were read at `position`, and returns whether the set of cordoned
+    /// domains changed. Does nothing before the first full list.
     pub fn apply_changes(&mut self, now: Time, position: Position, changes: &[Change]) -> bool {
         if !self.is_known() || self.is_stale(position) {
             return false;
@@ -130,7 +137,8 @@
         self.replace(now, new)
     }
 
-    /// Takes in what another entry tells; returns whether the set is another now.
+    /// Applies the set of another entry if it is newer, and returns whether the set of cordoned
+    /// domains changed.
     pub fn apply_update(&mut self, now: Time, update: Update) -> bool {
         if self.position.is_some_and(|known| known >= update.position) {
             return false;
@@ -142,16 +150,17 @@
         self.replace(now, new)
     }
 
-    /// What others should hear of again and again: cordons there are, or were a short while ago, and that
-    /// there are none where that has just become known here. Whoever has just been linked hears
-    /// [all](Self::to_update).
+    /// Returns the update to announce in each heartbeat: while any domain is cordoned, for
+    /// [`SETTLE_TIME`] after a cordon was lifted, and for as long after the set was first known,
+    /// since it may be empty. `None` otherwise. An entry whose link has just opened gets
+    /// [`Self::to_update`] in any case.
     pub fn heartbeat_update(&self, now: Time) -> Option<Update> {
         let is_new = now.since(self.known_since) < SETTLE_TIME;
         let announce = is_new || !self.domains.is_empty() || !self.lifted.is_empty();
         announce.then(|| self.to_update(now)).flatten()
     }
 
-    /// What others should hear of; `None` before the first reading.
+    /// Returns the set as an update for other entries; `None` before the first reading.
     pub fn to_update(&self, now: Time) -> Option<Update> {
         let remaining_ms =
             |until: Time| u64::try_from(until.since(now).as_millis()).unwrap_or(u64::MAX);
@@ -160,7 +169,8 @@
         Some(Update { position: self.position?, domains: domains.collect() })
     }
 
-    /// Drops what stayed missing after the registry's return; returns whether anything was.
+    /// Drops cordons that are still missing at the end of their grace period after a restore, and
+    /// returns whether there were any.
     pub fn expire(&mut self, now: Time) -> bool {
         self.lifted.retain(|_, lifted_at| now.since(*lifted_at) < SETTLE_TIME);
         let mut new = self.domains.clone();
--- a/crates/policy/src/migration_queue.rs
+++ b/crates/policy/src/migration_queue.rs
@@ -1,16 +1,16 @@
-//! Whose answer leaves an engine next.
+//! The order in which answers are migrated from an engine that is leaving.
 //!
-//! **Load pattern** (`reclaim`): an engine that is taken back holds answers of several entries, and
-//! each must be copied over the engine's one link in the second or two that are left.
+//! An engine that is reclaimed holds answers of several entries, and each must be copied over the
+//! engine's single link in the second or two that are left. If every entry began at once, all
+//! copies would share the link. The last part of each copy, during which its answer pauses, would
+//! wait behind the first parts of all others: pauses of 0.2 to 1.4 s, while up to 0.18 s is on
+//! time. With one migration at a time, an answer pauses only for its own last part, 20 to 40 ms on
+//! an idle link.
 //!
-//! **Without it.** Every entry begins at once. All copies share the link's queue, so the last part
-//! of each, for which its answer stands still, waits behind the first parts of all others: measured
-//! pauses of 0.2 to 1.4 s, where 0.18 s is still on time. **With it** one answer at a time is
-//! copied and stops only for its own last part, 20 to 40 ms on an idle link.
-//!
-//! One entry keeps the queue of each engine, by rendezvous among those that it sees. Two may keep
-//! it for a moment; then two copies share the link, which is slow and not wrong. Nothing is lost
-//! with the queue: whoever hears nothing goes ahead on its own.
+//! One entry owns the queue of each engine, chosen by rendezvous hashing among the entries that it
+//! sees. Two entries may own it for a moment; two copies then share the link, which is slow but not
+//! wrong. The loss of a queue loses no answers: an entry whose request for a turn is not answered
+//! in time migrates without one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,23 +22,25 @@
 use crate::time::Time;
 use crate::unit::Tokens;
 
-/// How long a queue collects before its first turn: entries learn that an engine leaves within a
-/// few milliseconds of each other, and the order matters more than these.
+/// How long a queue collects requests before its first migration starts. Entries learn that an
+/// engine is leaving within a few milliseconds of each other, and the right order is worth this
+/// delay.
 const GATHER_TIME: Duration = Duration::from_millis(12);
 
-/// How long a turn may last before the next begins all the same: a full engine's memory takes less
-/// over an idle link within a failure domain, and who holds the turn may be gone.
+/// How long a migration may take before the next one starts regardless. Copying the memory of a
+/// full engine over an idle link within a failure domain takes less, and the entry that migrates
+/// may be gone.
 const MIGRATION_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// One answer that waits to be copied.
+/// An answer that waits to be migrated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Migration {
-    /// The entry that it belongs to.
+    /// The entry that serves the answer.
     pub entry: id::Host,
-    /// Its request.
+    /// The request that it answers.
     pub request: SmolStr,
-    /// Tokens that it is expected to produce still. The longest goes first: it is the most certain
-    /// to be cut if it stays, and the most is lost with it.
+    /// Tokens that the answer is still expected to produce. The longest answer goes first: it is
+    /// the most certain to be interrupted if it stays, and has the most to lose.
     #[serde(rename = "left")]
     pub remaining: Tokens,
 }
@@ -79,19 +81,19 @@
     }
 }
 
-/// The queues that this entry keeps.
+/// The queues that this entry owns.
 #[derive(Debug, Default)]
 pub struct Queues {
     queues: BTreeMap<id::Target, Queue>,
 }
 
 impl Queues {
-    /// Opens without a queue.
+    /// Creates a set without queues.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes an answer into the queue of its engine.
+    /// Adds an answer to the queue of its engine.
     pub fn enqueue(&mut self, now: Time, engine: &id::Target, migration: Migration) {
         let queue = self
             .queues
@@ -100,7 +102,7 @@
         queue.waiting.push(migration);
     }
 
-    /// Notes that an answer has been copied, or needs no copy any more.
+    /// Records that an answer has been migrated or needs no migration any more.
     pub fn finish(&mut self, engine: &id::Target, request: &str) {
         let Some(queue) = self.queues.get_mut(engine) else { return };
         queue.waiting.retain(|migration| migration.request != request);
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Hands out the turns that are due and forgets queues that are over.
+    /// Starts the migrations that are due, and drops queues that are finished.
     pub fn poll(&mut self, now: Time) -> Vec<(id::Target, Migration)> {
         let mut due = Vec::new();
         for (engine, queue) in &mut self.queues {
@@ -119,7 +121,8 @@
         due
     }
 
-    /// When [`Queues::poll`] may have something to do if nobody asks or ends: soon, or never.
+    /// Returns whether there are no queues, so that [`Queues::poll`] has nothing to do before the
+    /// next [`Queues::enqueue`].
     pub fn is_idle(&self) -> bool {
         self.queues.is_empty()
     }
--- a/crates/policy/src/target_limit.rs
+++ b/crates/policy/src/target_limit.rs
@@ -1,8 +1,8 @@
-//! What targets say they take, of all entries together.
+//! Limits that targets advertise, in requests a second from all entries together.
 //!
-//! Pattern `named-limits`: a target in need names in its answers how many requests a second it takes.
-//! Each entry that reads it tells the others, and asks the one that
-//! [keeps the target's bucket](crate::token_bucket) before it sends there.
+//! An overloaded target advertises its limit in its answers. Each entry that receives such an
+//! answer announces the limit to the others, and asks the entry that owns the target's [token
+//! bucket](crate::token_bucket) before it sends there.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -15,26 +15,26 @@
 use crate::time::Time;
 use crate::unit::RequestRate;
 
-/// A larger limit is none.
+/// The largest limit, in requests a second; a larger one is invalid.
 const MAX_LIMIT_PER_SECOND: f64 = 1e6;
 
-/// By which part a limit must have changed for the others to be told.
+/// The relative change from which on a limit is announced to other entries.
 const ANNOUNCE_THRESHOLD: f64 = 0.1;
 
-/// What one answer says of its target's limit.
+/// What one answer says about the limit of its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Advertisement {
-    /// It names none.
+    /// The answer has no limit.
     #[default]
     Absent,
-    /// It takes so much.
+    /// The target takes this many requests a second.
     Limit(RequestRate),
-    /// It names something that is no rate, which says nothing about the one before.
+    /// The answer has a limit that is not a valid rate; the previous limit stays in force.
     Invalid,
 }
 
 impl Advertisement {
-    /// Reads a limit as it is named.
+    /// Parses the limit in an answer.
     pub fn parse(text: &str) -> Self {
         match RequestRate::from_str(text.trim()) {
             Ok(rate) if (0.0..=MAX_LIMIT_PER_SECOND).contains(&rate.get()) => Self::Limit(rate),
@@ -43,31 +43,31 @@
     }
 }
 
-/// What entries tell each other of one target.
+/// The limit of one target, as entries announce it to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     /// The target.
     pub target: id::Target,
-    /// Which start of it.
+    /// The start of the target that this is about, if the target reports its start.
     pub start: Option<Start>,
-    /// What it takes; `None` where it names no limit any more.
+    /// The limit; `None` if the target no longer advertises one.
     pub limit: Option<RequestRate>,
-    /// How many milliseconds ago it said so.
+    /// How many milliseconds ago the target advertised it.
     #[serde(rename = "age")]
     pub age_ms: u64,
 }
 
-/// What one target said last.
+/// The last advertisement of one target.
 #[derive(Clone, Copy, Debug)]
 struct Record {
     start: Option<Start>,
     limit: Option<RequestRate>,
     advertised_at: Time,
-    /// What the others were last told.
+    /// The limit that was last announced to other entries.
     announced: Option<RequestRate>,
 }
 
-/// Limits that targets have named.
+/// Limits that targets advertise, as known to one entry.
 #[derive(Debug, Default)]
 pub struct Limits {
     records: HashMap<id::Target, Record>,
@@ -75,11 +75,11 @@
 }
 
 impl Limits {
-    /// Takes in what the answer to a request says that was sent at `sent`; returns whether the limit
-    /// is another than before.
+    /// Records what the answer to a request says about the limit of its target, and returns whether
+    /// the limit changed.
     ///
-    /// An answer without a limit lifts one only where its request was sent after that was named:
-    /// answers overtake each other.
+    /// Answers may arrive out of order, so an answer without a limit clears a limit only if its
+    /// request was sent, at `sent_at`, after the limit was received.
     pub fn record_answer(
         &mut self,
         now: Time,
@@ -111,7 +111,8 @@
         before != limit
     }
 
-    /// Takes in what another entry heard; returns the words that were news.
+    /// Applies updates of another entry, and returns those that differ enough from what was known
+    /// to be passed on.
     pub fn apply(&mut self, now: Time, updates: Vec<Update>) -> Vec<Update> {
         updates.into_iter().filter(|update| self.apply_one(now, update)).collect()
     }
@@ -137,24 +138,25 @@
         should_announce(before, update.limit)
     }
 
-    /// What a target takes, where it names a limit.
+    /// Returns the limit of a target, if it advertises one.
     pub fn limit(&self, target: &id::Target) -> Option<RequestRate> {
         self.records.get(target)?.limit
     }
 
-    /// Targets that name a limit.
+    /// Returns how many targets advertise a limit.
     pub fn limited_count(&self) -> usize {
         self.records.values().filter(|record| record.limit.is_some()).count()
     }
 
-    /// Forgets targets that are listed no more, and what earlier starts of others said.
+    /// Drops the limits of targets that are not listed any more, and those that an earlier start of
+    /// a target advertised.
     pub fn retain<'a>(&mut self, listed: impl Fn(&id::Target) -> Option<&'a Target>) {
         self.records.retain(|id, record| {
             listed(id).is_some_and(|target| !is_earlier_start(record.start, target.start))
         });
     }
 
-    /// What others should hear of since this was last asked.
+    /// Takes the updates to announce to other entries since the last call.
     pub fn take_updates(&mut self, now: Time) -> Vec<Update> {
         let pending = std::mem::take(&mut self.pending);
         for target in &pending {
@@ -165,13 +167,13 @@
         pending.iter().filter_map(|target| self.to_update(now, target)).collect()
     }
 
-    /// All limits that are named, for an entry that knows none.
+    /// Returns an update for each advertised limit, for an entry that knows none.
     pub fn all_updates(&self, now: Time) -> Vec<Update> {
         let limited = self.records.iter().filter(|(_, record)| record.limit.is_some());
         limited.filter_map(|(target, _)| self.to_update(now, target)).collect()
     }
 
-    /// What is known of one target.
+    /// Returns the update for one target; `None` if nothing is known about its limit.
     pub fn to_update(&self, now: Time, target: &id::Target) -> Option<Update> {
         let record = self.records.get(target)?;
         let age_ms = u64::try_from(now.since(record.advertised_at).as_millis()).unwrap_or(u64::MAX);
@@ -179,12 +181,12 @@
     }
 }
 
-/// Whether one start is known to be before another.
+/// Returns whether one start is known to be earlier than another.
 fn is_earlier_start(one: Option<Start>, other: Option<Start>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one < other)
 }
 
-/// Whether a limit differs so much from what was told that others should hear of it.
+/// Returns whether a limit differs enough from the one last announced to be announced again.
 fn should_announce(announced: Option<RequestRate>, limit: Option<RequestRate>) -> bool {
     match (announced, limit) {
         (Some(announced), Some(limit)) => {
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -1,7 +1,10 @@
-//! The one entry that decides for all what a target gets: one that names a limit, or that is cold.
+//! Token buckets for targets that take a limited rate of requests: those that advertise a limit,
+//! and those that are cold.
 //!
-//! Counted by each entry for itself, a target gets its limit once for each; divided among them, an entry
-//! with all the traffic can't use it, and with a limit below one request a second for each nobody may send.
+//! Each target has one entry, its owner, that holds its bucket and decides for all entries. If each
+//! entry counted for itself, a target would get its limit once for each entry. If the limit were
+//! divided among them, an entry with all the traffic could not use it, and with less than one
+//! request a second for each, none could send at all.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -11,61 +14,64 @@
 use crate::time::Time;
 use crate::unit::RequestRate;
 
-/// Requests a second that are sent to a target that takes none: one now and then shows when it takes
-/// some again.
+/// The lowest rate for an advertised limit, in requests a second. Even a target that takes none
+/// gets an occasional request, whose answer shows when it takes some again.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.2;
 
-/// Requests that a target may get at once after it has got fewer than it takes, and the time whose
-/// requests may come on top.
+/// Requests that a bucket holds in addition to those of [`BURST_SECONDS`], for a target that has
+/// received less than its limit.
 const BURST_REQUESTS: f64 = 1.0;
 
-/// The time whose requests may come on top of [`BURST_REQUESTS`].
+/// Seconds' worth of requests that a bucket holds in addition to [`BURST_REQUESTS`].
 const BURST_SECONDS: f64 = 0.5;
 
-/// The longest that an entry stays away from a target before it asks again.
+/// The longest time for which an entry is told not to use a target before it asks again.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// For how long entries that were alive count among those that may be sending: as long as failure
-/// domains lose each other.
+/// For how long an entry that was alive counts as one that may still be sending. Failure domains
+/// may lose contact with each other for this long.
 const PARTITION_WINDOW: Duration = Duration::from_secs(300);
 
-/// What both halves of a fleet that can't reach each other may send together, in limits.
+/// What both sides of a partition may send together to a target that advertises a limit, as a
+/// multiple of that limit.
 const PARTITION_FACTOR: f64 = 1.3;
 
-/// What the seconds of a bucket and of its target may differ by, as a part of the most in a second: requests
-/// take unlike long from the entry that decides to the target.
+/// The fraction of a cold target's maximum in any second that its bucket leaves free. Requests take
+/// different times from the owner's decision to the target, so that the target may get more in one
+/// second than the bucket granted in one.
 const JITTER_RATIO: f64 = 0.1;
 
-/// The part of the most in a second at which requests may follow each other, where a bucket holds one only.
+/// The highest refill rate for a cold target, as a fraction of its maximum in any second: the rate
+/// at which requests follow each other if the bucket holds only one.
 const MAX_REFILL_RATIO: f64 = 0.85;
 
-/// A rate at which nothing is sent.
+/// The lowest rate to divide by, in requests a second; stands for a rate of zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// What a target takes.
+/// The limits of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Allowance {
-    /// The limit that it names.
+    /// The limit that it advertises.
     pub advertised: Option<RequestRate>,
-    /// What it may get because it is cold.
+    /// The limit that applies because it is cold.
     pub cold: Option<cold::Limit>,
 }
 
-/// How a bucket fills.
+/// How a bucket is refilled.
 #[derive(Clone, Copy, Debug)]
 struct Refill {
     /// Requests a second.
     rate: f64,
-    /// Requests that it holds at most.
+    /// The most requests that the bucket holds.
     burst: f64,
 }
 
-/// What may still be sent to one target.
+/// The token bucket of one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     tokens: f64,
     filled_at: Time,
-    /// Requests that were told to come back and have not.
+    /// Requests that were deferred and have not been repeated yet.
     deferred: f64,
 }
 
@@ -81,7 +87,8 @@
         self.filled_at = now;
     }
 
-    /// Takes one, or says when to ask again; those that are told so come one after the other.
+    /// Takes a token, or returns how long to wait before asking again. Requests that are deferred
+    /// get increasing waits, so that they return one after the other.
     fn try_take(&mut self, now: Time, refill: Refill) -> Option<Duration> {
         self.add_tokens(now, refill);
         if self.tokens >= 1.0 {
@@ -89,7 +96,8 @@
             return None;
         }
         let wait = (1.0 - self.tokens + self.deferred) / refill.rate.max(MIN_DIVISOR);
-        // Below one a second one promise alone would outlast the longest wait.
+        // At one request a second or less, a single deferred request would already outlast
+        // `MAX_WAIT`.
         if refill.rate > 1.0 {
             self.deferred += 1.0;
         }
@@ -97,40 +105,43 @@
     }
 }
 
-/// Decides for all entries what is sent to targets that take only so much.
+/// The token buckets of the targets that this entry owns.
 ///
-/// One entry keeps a target's bucket, so the bound is exact wherever traffic comes in. Entries that
-/// can't reach each other keep one on each side: each side takes the part of the limit that it has of
-/// the entries that were alive lately, and a little more, since some of the others are gone.
+/// With one owner for each target the limit is exact, wherever traffic comes in. During a partition
+/// each side has an owner of its own. Each side then uses the same fraction of the limit as it has
+/// of the entries that were alive recently. For an advertised limit it uses a little more, since
+/// some of the missing entries are gone rather than cut off.
 #[derive(Debug, Default)]
 pub struct Buckets {
     buckets: HashMap<id::Target, Bucket>,
-    /// How many entries were alive, and since when, the earliest first.
+    /// How many entries were alive and since when, earliest first.
     alive_counts: VecDeque<(Time, usize)>,
-    /// From when it knows the other entries.
+    /// The time from which this entry knows the other entries; see
+    /// [`Buckets::with_membership_known_at`].
     membership_known_at: Time,
 }
 
 impl Buckets {
-    /// The keeper of an entry that knows the others from a time on. Before, each of several that start
-    /// together would decide for all, so it lets nothing through to targets that crash above a bound.
+    /// Creates the buckets of an entry that knows the other entries from `membership_known_at` on.
+    /// Several entries that start together each consider themselves the owner until then, so no
+    /// requests to cold targets, which crash above their limit, are granted before.
     pub fn with_membership_known_at(membership_known_at: Time) -> Self {
         Self { membership_known_at, ..Self::default() }
     }
 
-    /// Notes how many entries are alive.
+    /// Records how many entries are alive.
     pub fn set_alive(&mut self, now: Time, count: usize) {
         if self.alive_counts.back().is_none_or(|(_, last)| *last != count) {
             self.alive_counts.push_back((now, count));
         }
-        // Each count lasts until the next one.
+        // A count holds until the next one begins.
         while self.alive_counts.get(1).is_some_and(|(next, _)| now.since(*next) >= PARTITION_WINDOW)
         {
             self.alive_counts.pop_front();
         }
     }
 
-    /// The part of the entries that this side has.
+    /// Returns the fraction of the recently alive entries that this side of a partition has.
     fn fleet_fraction(&self) -> f64 {
         let current = self.alive_counts.back().map_or(1, |(_, count)| *count);
         let peak = self.alive_counts.iter().map(|(_, count)| *count).max().unwrap_or(1);
@@ -143,8 +154,9 @@
         Refill { rate, burst: BURST_REQUESTS + BURST_SECONDS * rate }
     }
 
-    /// A target that is cold crashes above its bound, so both halves of a fleet together must keep it: of a
-    /// bound too small to be divided the larger half has one request.
+    /// Returns the refill for a cold target. Such a target crashes above its limit, so both sides
+    /// of a partition together must stay within it. Of a limit that is too small to be divided, the
+    /// larger side gets one request in any second.
     fn cold_refill(&self, now: Time, limit: &cold::Limit) -> Refill {
         let fraction = self.fleet_fraction();
         let shared = (limit.max_per_second() * fraction).floor();
@@ -168,7 +180,8 @@
         }
     }
 
-    /// Grants one request to a target, or says when to ask again.
+    /// Grants one request to a target by returning `None`, or returns how long to wait before
+    /// asking again. A target without a limit gets any request.
     pub fn try_send(
         &mut self,
         now: Time,
@@ -179,7 +192,7 @@
         self.bucket(now, target).try_take(now, refill)
     }
 
-    /// Counts a request that is sent in any case.
+    /// Counts a request that is sent regardless of the limit.
     pub fn spend(&mut self, now: Time, target: &id::Target, allowance: &Allowance) {
         let Some(refill) = self.refill(now, allowance) else { return };
         let bucket = self.bucket(now, target);
@@ -191,7 +204,7 @@
         self.buckets.entry(target.clone()).or_insert_with(|| Bucket::new(now))
     }
 
-    /// Forgets targets that take all that comes.
+    /// Drops the buckets of targets for which `is_limited` returns false.
     pub fn retain(&mut self, is_limited: impl Fn(&id::Target) -> bool) {
         self.buckets.retain(|target, _| is_limited(target));
     }
--- a/crates/policy/src/workspace_limit.rs
+++ b/crates/policy/src/workspace_limit.rs
@@ -1,21 +1,21 @@
 //! Limits of a workspace that hold across entries without shared state.
 //!
-//! **Load pattern.** One workspace opens far more streams, or draws far more tokens a second,
-//! than it is meant to, through as many entries as it can find.
+//! A workspace may open far more streams, or draw far more tokens a second, than it is allowed to,
+//! through as many entries as it can reach. If each entry enforced the whole limit, the workspace
+//! would get it once for each entry: eight times with eight entries.
 //!
-//! **Without it.** It gets the limit once for each entry, eight times what the operators wrote.
+//! Each entry therefore enforces a part of the limit. The part is a pure function of the
+//! *published* host list and does not depend on which hosts seem alive, so that the parts sum to
+//! one even across both sides of a partition. Callers are directed to the first entries of their
+//! workspace's ranking ([`crate::rendezvous`]), and the parts follow that ranking. With equal
+//! parts, a workspace that uses a single entry as directed would get only an eighth of its limit.
 //!
-//! **How it holds.** Each entry enforces a part of the limit that is a pure function of the
-//! *published* host list, never of who seems alive, so that the parts sum to one on both sides of
-//! a partition together. Callers are told to prefer the first entries of their workspace's
-//! ranking ([`crate::rendezvous`]), so the parts follow that ranking: with equal parts a
-//! workspace that uses one entry, as it is asked to, would get an eighth of its limit.
-//!
-//! **Figures.** The first entry has half and the second half of the rest; the others divide what
-//! remains, for callers that have not heard yet. A part shrinks at once and grows by
-//! [`MAX_GROWTH_PER_SECOND`] of the whole limit a second: the host that just left the list may not know it yet
-//! and still use its part, and a list that flaps moves little. Until both have read the same list
-//! the sum can exceed the limit by the part of the hosts that differ.
+//! The first entry has half of the limit and the second half of the rest. The others divide what
+//! remains, for callers that do not know the ranking yet. A part shrinks at once and grows by
+//! [`MAX_GROWTH_PER_SECOND`] of the whole limit a second: a host that was just removed from the
+//! list may not know this yet and still use its part, and a list that flaps changes little. Until
+//! two hosts have read the same list, the sum can exceed the limit by the parts of the hosts in
+//! which their lists differ.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,19 +25,20 @@
 use crate::time::Time;
 use crate::unit::{Share, TokenRate, Tokens};
 
-/// How much of the whole limit a part may grow in a second.
+/// How much a part may grow in a second, as a fraction of the whole limit.
 pub const MAX_GROWTH_PER_SECOND: f64 = 0.05;
 
-/// How many seconds' worth of tokens may be drawn at once; answers arrive in bursts.
+/// How many seconds' worth of tokens may be drawn at once, since answers arrive in bursts.
 pub const BURST_SECONDS: f64 = 10.0;
 
-/// When to come back where streams, not tokens, are at the limit: about a short answer's length.
+/// The wait that a refusal suggests when the number of streams, not of tokens, is at the limit:
+/// about the duration of a short answer.
 const STREAM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The longest wait that a refusal names.
+/// The longest wait that a refusal suggests.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// What the operators allow one workspace over all entries; absent means without bound.
+/// The limits that operators set for one workspace over all entries; `None` means unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limit {
     /// Streams open at once.
@@ -46,9 +47,10 @@
     pub rate: Option<TokenRate>,
 }
 
-/// The part of a workspace's limits that one entry enforces, between two marks of the whole.
+/// The part of a workspace's limits that one entry enforces, as the interval between two fractions
+/// of the whole.
 ///
-/// Two marks rather than a size let whole streams be divided without a remainder.
+/// Intervals rather than sizes allow whole streams to be divided without a remainder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
     begin: f64,
@@ -56,7 +58,8 @@
 }
 
 impl Part {
-    /// The part of `own` among the published entry hosts; nothing where it is not listed.
+    /// Returns the part of `own` among the published entry hosts; an empty part if it is not
+    /// listed.
     pub fn of(workspace: &id::Workspace, own: &id::Host, published: &[id::Host]) -> Self {
         let ranked = rendezvous::rank(workspace.as_str(), published, |host| host.as_str());
         match ranked.iter().position(|host| *host == own) {
@@ -67,21 +70,22 @@
         }
     }
 
-    /// Its size.
+    /// Returns the size of the part.
     pub fn share(&self) -> Share {
         Share::new(self.end - self.begin)
     }
 
-    /// Whole streams in this part; over all entries they sum to `streams` exactly.
+    /// Returns the whole streams in this part; over all entries they sum to `streams` exactly.
     pub fn streams(&self, streams: u32) -> u32 {
         let whole = f64::from(streams);
-        // Marks are sums of floats; without the nudge 0.999... of a stream would vanish.
+        // Boundaries are sums of floats. Without the small addition, 0.999... of a stream would be
+        // rounded down.
         let streams_below = |boundary: f64| (boundary * whole + 1e-6) as u32;
         streams_below(self.end) - streams_below(self.begin)
     }
 }
 
-/// Where the part of the entry of this rank begins.
+/// Returns where the part of the entry with this rank begins, as a fraction of the whole.
 fn boundary(rank: usize, count: usize) -> f64 {
     match (rank, count) {
         (0, _) => 0.0,
@@ -95,7 +99,7 @@
 struct Account {
     limit: Limit,
     part: Part,
-    /// The share in force, which follows that of the part by bounded steps.
+    /// The share in force, which follows that of `part` in bounded steps.
     share: f64,
     share_updated_at: Time,
     open_streams: u32,
@@ -140,19 +144,20 @@
     }
 }
 
-/// The limits that one entry enforces; workspaces without limits take no room here.
+/// The limits that one entry enforces. Workspaces without limits have no state here.
 #[derive(Debug, Default)]
 pub struct Limits {
     accounts: HashMap<id::Workspace, Account>,
 }
 
 impl Limits {
-    /// Opens without any limit.
+    /// Creates a set without any limits.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets a workspace's limit and this entry's part of it; streams already open go on.
+    /// Sets the limit of a workspace and this entry's part of it. Streams that are already open are
+    /// not affected.
     pub fn set(&mut self, now: Time, workspace: &id::Workspace, limit: Limit, part: Part) {
         let share = part.share().get();
         let account = self.accounts.entry(workspace.clone()).or_insert_with(|| Account {
@@ -170,27 +175,27 @@
         account.share = account.share.min(share);
     }
 
-    /// Drops the limits of all workspaces but these.
+    /// Drops the limits of all workspaces for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&id::Workspace) -> bool) {
         self.accounts.retain(|workspace, _| keep(workspace));
     }
 
-    /// Opens a stream, or says when to come back.
+    /// Opens a stream, or returns how long to wait before trying again.
     pub fn admit(&mut self, now: Time, workspace: &id::Workspace) -> Result<(), Duration> {
         let Some(account) = self.accounts.get_mut(workspace) else { return Ok(()) };
         account.advance(now);
         account.admit()
     }
 
-    /// Notes tokens that a workspace's answers drew. Lengths are unknown ahead, so an answer may
-    /// overdraw; new ones then wait until the debt is earned back.
+    /// Records tokens that answers of a workspace have drawn. The length of an answer is not known
+    /// in advance, so it may overdraw; new streams then wait until the debt is refilled.
     pub fn spend(&mut self, now: Time, workspace: &id::Workspace, tokens: Tokens) {
         let Some(account) = self.accounts.get_mut(workspace) else { return };
         account.advance(now);
         account.tokens -= tokens.get() as f64;
     }
 
-    /// Notes that a stream ended.
+    /// Records that a stream has ended.
     pub fn release(&mut self, workspace: &id::Workspace) {
         let Some(account) = self.accounts.get_mut(workspace) else { return };
         account.open_streams = account.open_streams.saturating_sub(1);
