--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -1,24 +1,24 @@
-//! Which targets may receive new work, while the registry that lists them comes and goes.
+//! Which targets may receive new work, based on their leases in a registry that may be unavailable.
 //!
-//! Each target renews an entry in a registry; the entry is its lease. **Failure:** the registry is
-//! away, entries lapse meanwhile although their targets live, and an entry host that believed the
-//! first list after its return would refuse every request with all targets free. **Guard:** after
-//! an outage, what is missing stays usable until [`REJOIN_GRACE`] has passed, in which live targets are
-//! listed again; what is still missing then is gone.
+//! Each target renews an entry in a registry; the entry is its lease. While the registry is
+//! unavailable, leases expire although their targets are alive. An entry host that trusted the
+//! first list after the registry's return would refuse every request with all targets free. After
+//! an outage, missing targets therefore stay usable for [`REJOIN_GRACE`], in which live targets are
+//! listed again. Those still missing at its end are removed.
 //!
-//! An outage in which calls hang is noticed by nobody: the watch that waits through it is answered
-//! afterwards, with the removal of everything. So a reading that takes away more than half of the
-//! targets at once is taken for the end of an outage as well.
+//! An outage in which calls hang produces no errors: a watch that waits through it is answered
+//! afterwards, with the removal of everything. A reading that removes more than half of the targets
+//! at once is therefore treated as the end of an outage as well.
 //!
-//! A target that said that it drains never comes back under the same name, whatever an older
-//! reading says: readings of different sources overtake each other. One that was removed without a
-//! word comes back with a renewal newer than any seen before, since only a live target renews: it
-//! was cut off from the registry for longer than its lease, and without it a service whose targets
-//! all were so stays refused although they are free. `docs/INCIDENTS.md` has the day.
+//! A target that announced that it drains never returns under the same name, whatever an older
+//! reading says, since readings of different sources may arrive out of order. A target that was
+//! removed without such an announcement returns with a renewal newer than any seen before, since
+//! only a live target renews: it was cut off from the registry for longer than its lease. Otherwise
+//! a service whose targets were all cut off in this way would stay refused although they are free.
 //!
-//! A target may start again under the name that it had, and says when it started. The newer start is
-//! another target but for its name: it takes work though the one before drained, its renewals count
-//! anew, and whatever ran there is lost.
+//! A target may restart under the same name and reports when it started. A newer start counts as a
+//! different target with the same name: it takes work even if the previous start was draining, its
+//! renewals are counted anew, and whatever ran on the previous start is lost.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,45 +34,46 @@
 use crate::position::Position;
 use crate::time::Time;
 
-/// How long after a registry's return its list may lack live targets. The users' letter gives two
-/// seconds; the rest covers the way of the reading.
+/// How long missing targets stay usable after the registry returns. A list may lack live targets
+/// for two seconds; the rest allows for the delay of the reading.
 pub const REJOIN_GRACE: Duration = Duration::from_millis(2_300);
 
-/// How long the name of a target that left is remembered, against older readings that still list
-/// it: longer than any reading is old.
+/// How long the name of a removed target is kept, so that older readings that still list it do not
+/// bring it back. No reading is older than this.
 const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
-/// By how much two readings may differ of when a target stops being cold.
+/// By how much two readings may differ in when a target stops being cold without counting as a
+/// change.
 const COLD_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// The fewest targets that are taken for lapsed together: two may well leave at once.
+/// The fewest targets that count as expired together; two may leave at once in normal operation.
 const MASS_LAPSE_MIN_TARGETS: usize = 3;
 
 /// Whether a target takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It does.
+    /// It takes new work.
     Ready,
-    /// It finishes what it has.
+    /// It finishes its current work and takes no more.
     Draining,
 }
 
-/// When a target started, in milliseconds since 1970 by its own clock; only compared with other
-/// starts of the same target.
+/// When a target started, in milliseconds since the Unix epoch by its own clock. It is only
+/// compared with other starts of the same target.
 #[derive(
     Clone, Copy, Debug, Display, FromStr, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Start(u64);
 
 impl Start {
-    /// The start so many milliseconds after 1970.
+    /// Creates a start from milliseconds since the Unix epoch.
     pub const fn new(millis: u64) -> Self {
         Self(millis)
     }
 }
 
-/// One back end as its registry entry describes it.
+/// One target as described by its registry entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// Its name in decisions.
@@ -81,26 +82,27 @@
     pub instance: SmolStr,
     /// The service that it belongs to.
     pub service: id::Service,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its failure domain.
     pub domain: id::Domain,
     /// Whether it takes new work.
     pub state: State,
-    /// How many times it had renewed its entry when it was read; grows for as long as it lives.
+    /// How many times it had renewed its lease when this was read; increases for as long as it
+    /// lives.
     #[serde(default)]
     pub renewal: u64,
-    /// When it started, where it says so.
+    /// When it started, if it reports this.
     #[serde(default)]
     pub start: Option<Start>,
-    /// For how many milliseconds it stayed cold when it was read.
+    /// For how many milliseconds it was still cold when this was read.
     #[serde(default)]
     pub cold_ms: u64,
 }
 
 impl Target {
-    /// How the start of this reading stands to that of another: greater where it started again
-    /// since. Readings that say nothing of it are taken to be of one start.
+    /// Compares the start of this reading with that of another; `Greater` if the target restarted
+    /// in between. Readings without a start are assumed to be of the same start.
     fn cmp_start(&self, other: &Self) -> Ordering {
         match (self.start, other.start) {
             (Some(own), Some(theirs)) => own.cmp(&theirs),
@@ -108,61 +110,62 @@
         }
     }
 
-    /// Whether this target started again since `other` was read.
+    /// Returns whether this target restarted after `other` was read.
     pub fn is_restart_of(&self, other: &Self) -> bool {
         self.cmp_start(other) == Ordering::Greater
     }
 
-    /// Whether two readings say the same but for renewals and the time for which it stays cold.
+    /// Returns whether two readings are equal except for renewals and the remaining cold time.
     fn is_equivalent(&self, other: &Self) -> bool {
         let (renewal, cold_ms) = (self.renewal, self.cold_ms);
         *self == Self { renewal, cold_ms, ..other.clone() }
     }
 }
 
-/// Something that a registry tells.
+/// A change of one lease in the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// An entry was written.
+    /// The lease was written.
     Put(Target),
-    /// An entry is gone.
+    /// The lease is gone.
     Gone(id::Target),
 }
 
-/// All targets known, and how far each is to be believed.
+/// The leases of all known targets.
 #[derive(Debug, Default)]
 pub struct Leases {
     live: BTreeMap<id::Target, Lease>,
     tombstones: BTreeMap<id::Target, Tombstone>,
-    /// Where the view stands.
+    /// The registry position of the last change.
     position: Position,
-    /// Until when entries may be missing unjustly.
+    /// The end of the grace period in which missing leases may belong to live targets.
     grace_until: Time,
-    /// Targets that have started again since this was last asked.
+    /// Targets that have restarted since the last [`Leases::take_restarted`].
     restarted: Vec<id::Target>,
 }
 
+/// The lease of a target that is listed, or missing within the grace period.
 #[derive(Debug)]
 struct Lease {
     target: Target,
-    /// Where the reading stood that lacked it, shortly after an outage.
+    /// The position of the reading that lacked the lease, if that was within the grace period.
     missing_at: Option<Position>,
-    /// Until when it is cold.
+    /// When the target stops being cold.
     cold_until: Time,
 }
 
-/// A target that left, as it was last known.
+/// The last known state of a target that was removed or is draining.
 #[derive(Debug)]
 struct Tombstone {
     target: Target,
     created_at: Time,
-    /// Where the reading stood that lacked it.
+    /// The position of the reading that lacked the target or had it draining.
     position: Position,
 }
 
 impl Tombstone {
-    /// Whether a reading shows that it lives after all.
+    /// Returns whether a reading shows that the target is alive after all.
     fn is_superseded_by(&self, position: Position, read: &Target) -> bool {
         match read.cmp_start(&self.target) {
             Ordering::Less => return false,
@@ -175,18 +178,18 @@
 }
 
 impl Leases {
-    /// Where in the registry's history this view last changed; older lists are ignored.
+    /// Returns the registry position at which these leases last changed; older lists are ignored.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Notes that the registry answers again after it did not.
+    /// Starts the grace period for missing leases, when the registry answers again after an outage.
     pub fn start_grace(&mut self, now: Time) {
         self.grace_until = now + REJOIN_GRACE;
     }
 
-    /// Takes in one change at a position; returns whether anything is different now. One of an earlier
-    /// era says nothing.
+    /// Applies one change that was read at `position`, and returns whether anything changed.
+    /// Changes of an earlier era are ignored.
     pub fn apply_change(&mut self, now: Time, position: Position, change: Change) -> bool {
         if self.position.is_after(position) {
             return false;
@@ -198,7 +201,7 @@
         self.advance_position(position, changed)
     }
 
-    /// Takes in all changes of one reading; returns those after which anything is different.
+    /// Applies all changes of one reading, and returns those that had an effect.
     pub fn apply_changes(
         &mut self,
         now: Time,
@@ -216,10 +219,11 @@
         applied.collect()
     }
 
-    /// Takes in a whole list read at `position`; returns whether anything is different now.
+    /// Applies a full list that was read at `position`, and returns whether anything changed.
     ///
-    /// The first list of a later era is of a registry that came back from a copy: what it lacks may have
-    /// been written since and is about to be written again.
+    /// The first list of a later era comes from a registry that was restored from a copy. Leases
+    /// that it lacks may have been written after the copy was made and are about to be written
+    /// again, so the grace period starts.
     pub fn apply_list(&mut self, now: Time, position: Position, targets: Vec<Target>) -> bool {
         if position < self.position {
             return false;
@@ -244,7 +248,8 @@
         self.advance_position(position, changed || position.is_after(before))
     }
 
-    /// Takes a reading for the end of an outage where it lacks most of the targets.
+    /// Starts the grace period if a reading lacks most of the ready targets, which is treated as
+    /// the end of an outage.
     fn start_grace_if_most_lapsed(&mut self, now: Time, missing: &[&id::Target]) {
         let ready = |id: &&&id::Target| self.is_ready(id);
         let lapsed = missing.iter().filter(ready).count();
@@ -254,7 +259,8 @@
         }
     }
 
-    /// Drops what stayed missing; returns whether anything was.
+    /// Removes targets that are still missing at the end of the grace period, and returns whether
+    /// there were any.
     pub fn expire(&mut self, now: Time) -> bool {
         self.tombstones.retain(|_, tombstone| now.since(tombstone.created_at) < TOMBSTONE_TTL);
         if now < self.grace_until {
@@ -265,18 +271,20 @@
         let expired: Vec<(id::Target, Position)> = missing.collect();
         for (id, position) in &expired {
             self.remove(now, *position, id);
-            // Whoever has not read this itself learns from the position that it stands behind.
+            // The new position shows entries that have not read the registry themselves that they
+            // are behind.
             self.advance_position(*position, true);
         }
         !expired.is_empty()
     }
 
-    /// The targets that have started again under their names since this was last asked.
+    /// Takes the targets that have restarted under their names since the last call.
     pub fn take_restarted(&mut self) -> Vec<id::Target> {
         std::mem::take(&mut self.restarted)
     }
 
-    /// Notes that a target itself says that it leaves.
+    /// Marks a target as draining because it said so itself, and returns whether it was ready
+    /// before.
     pub fn mark_draining(&mut self, id: &id::Target) -> bool {
         let Some(lease) = self.live.get_mut(id) else { return false };
         let changed = lease.target.state == State::Ready;
@@ -284,15 +292,15 @@
         changed
     }
 
-    /// A target that is listed, or was a short while ago: it may go on with what it has, and its
-    /// answers are still to be taken from it.
+    /// Returns a target that is listed or was until recently. A removed target may still be
+    /// working, and its remaining answers are read from it.
     pub fn get(&self, id: &id::Target) -> Option<&Target> {
         let live = self.live.get(id).map(|lease| &lease.target);
         live.or_else(|| self.tombstones.get(id).map(|tombstone| &tombstone.target))
     }
 
-    /// Whether a target has ended without saying that it leaves: it is listed no more, or has started
-    /// again.
+    /// Returns whether a target ended without announcing that it drains: it is not listed any more,
+    /// or has restarted.
     pub fn has_ended(&self, target: &Target) -> bool {
         match self.live.get(&target.id) {
             Some(lease) => lease.target.is_restart_of(target),
@@ -300,18 +308,18 @@
         }
     }
 
-    /// Whether a target takes new work.
+    /// Returns whether a target takes new work.
     pub fn is_ready(&self, id: &id::Target) -> bool {
         self.live.get(id).is_some_and(|lease| lease.target.state == State::Ready)
     }
 
-    /// For how long a target is cold still.
+    /// Returns for how long a target is still cold.
     pub fn cold_remaining(&self, now: Time, id: &id::Target) -> Duration {
         self.live.get(id).map_or(Duration::ZERO, |lease| lease.cold_until.since(now))
     }
 
-    /// Takes in that a target is cold; returns whether that was not known. What is said of another start
-    /// says nothing.
+    /// Applies an update that a target is cold, and returns whether this is new. Updates about
+    /// another start are ignored.
     pub fn apply_cold_update(&mut self, now: Time, update: &cold::Update) -> bool {
         let Some(lease) = self.live.get_mut(&update.target) else { return false };
         let until = now + Duration::from_millis(update.remaining_ms);
@@ -323,7 +331,7 @@
         true
     }
 
-    /// All targets as of now, for an entry that knows none.
+    /// Returns all targets with their current remaining cold time, for an entry that knows none.
     pub fn snapshot(&self, now: Time) -> Vec<Target> {
         let remaining_ms = |lease: &Lease| u64::try_from(lease.cold_until.since(now).as_millis());
         let current = |lease: &Lease| Target {
@@ -333,12 +341,12 @@
         self.live.values().map(current).collect()
     }
 
-    /// All targets known, those that drain included.
+    /// Returns all known targets, including those that are draining.
     pub fn all(&self) -> impl Iterator<Item = &Target> {
         self.live.values().map(|lease| &lease.target)
     }
 
-    /// Targets of one service that take new work.
+    /// Returns the targets of one service that take new work.
     pub fn ready<'a>(&'a self, service: &'a id::Service) -> impl Iterator<Item = &'a Target> {
         self.all().filter(move |t| t.service == *service && t.state == State::Ready)
     }
@@ -362,7 +370,7 @@
         if known.is_some_and(|known| known.is_restart_of(&target)) {
             return false;
         }
-        // Nothing that was read of an earlier start holds.
+        // Nothing that was read about an earlier start applies to this one.
         if known.is_some_and(|known| target.is_restart_of(known)) {
             self.restarted.push(target.id.clone());
         }
@@ -387,7 +395,7 @@
         changed || cold_extended
     }
 
-    /// Takes in that the registry lacks an entry.
+    /// Records that the registry lacks a lease.
     fn mark_missing(&mut self, now: Time, position: Position, id: &id::Target) -> bool {
         match self.live.get_mut(id) {
             Some(lease) if now < self.grace_until && lease.target.state == State::Ready => {
--- a/crates/policy/src/migration_queue.rs
+++ b/crates/policy/src/migration_queue.rs
@@ -45,6 +45,7 @@
     pub remaining: Tokens,
 }
 
+/// The answers that wait at one engine, and the one being migrated with the time of its start.
 #[derive(Debug, Default)]
 struct Queue {
     opened_at: Time,
--- a/crates/policy/src/workspace_limit.rs
+++ b/crates/policy/src/workspace_limit.rs
@@ -95,6 +95,7 @@
     }
 }
 
+/// The limit of one workspace and what it uses of this entry's part.
 #[derive(Clone, Copy, Debug)]
 struct Account {
     limit: Limit,
