--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Pattern `cold-return`: targets that come back cold, and look emptiest to every entry.
+//! Limits of cold targets, which are the least loaded in the view of every entry.
 
 #[path = "support/cold_fleet.rs"]
 mod cold_fleet;
@@ -22,7 +22,7 @@
     Scenario { entries, per_s, margin, traffic, ..Scenario::default() }
 }
 
-/// The most that a target may get in one second.
+/// The most requests that a target may get in one second.
 fn max_allowed(scenario: &Scenario) -> f64 {
     scenario.per_s * scenario.excess + scenario.margin
 }
@@ -41,7 +41,8 @@
     }
 }
 
-/// Guards against a cold target getting its bound once for each entry, or for each side of a partition.
+/// Guards against a cold target getting its limit once for each entry, or for each side of a
+/// partition.
 #[parameterized(
     two_entries = { scenario(2, 1.0, 0.0, Traffic::AllEntries) },
     many_entries = { scenario(195, 1.0, 0.0, Traffic::AllEntries) },
@@ -82,7 +83,7 @@
     assert!(max as f64 <= max_allowed(&scenario), "{max} in a second");
 }
 
-/// Guards against cold targets that nobody uses where more is asked than they take.
+/// Guards against cold targets that stay unused although more requests arrive than they take.
 #[parameterized(
     one_a_second = { scenario(30, 1.0, 0.0, Traffic::AllEntries), 0.5 },
     one_a_second_at_one_entry = { scenario(195, 1.0, 0.0, Traffic::OneEntry), 0.5 },
@@ -97,7 +98,7 @@
     assert!(utilization >= min, "{utilization}");
 }
 
-/// Guards against requests that wait for leave where the bound is wide.
+/// Guards against requests that wait although the limit is far above the request rate.
 #[test]
 fn requests_below_the_limit_do_not_wait() {
     let wide =
@@ -108,7 +109,7 @@
     assert!(results.max_wait <= Duration::from_millis(50), "{:?}", results.max_wait);
 }
 
-/// Shows what the other ways would send: a part for each entry, and a ramp that asks nobody.
+/// Shows that the alternatives fail: static shares for each entry, and a ramp without an owner.
 #[parameterized(
     static_shares_of_two = { Strategy::StaticShares, 2, Traffic::AllEntries },
     static_shares_of_many = { Strategy::StaticShares, 195, Traffic::AllEntries },
@@ -133,7 +134,7 @@
     );
 }
 
-/// Guards against a target that may get nothing being tried now and then.
+/// Guards against occasional probes of a target that may get no request at all.
 #[test]
 fn limit_below_one_request_grants_none() {
     let limit = Limit { per_s: RequestRate::new(0.2), excess: 1.5, margin: 0.0 };
@@ -144,7 +145,7 @@
     assert_eq!(granted.count(), 0);
 }
 
-/// Guards against a bound that is gone by as soon as a target also names a limit.
+/// Guards against the limit of a cold target being dropped when the target also advertises a limit.
 #[test]
 fn stricter_of_two_limits_applies() {
     let id = target(0, 1, 1).id;
@@ -161,8 +162,8 @@
     }
 }
 
-/// Guards against a target that is cold again, or that started again, being taken for warm, and against
-/// one that is warm being kept for cold by an old reading.
+/// Guards against a target that is cold again, or that restarted, counting as warm, and against a
+/// warm target counting as cold because of an old reading.
 #[test]
 fn leases_track_the_remaining_cold_time() {
     let mut leases = Leases::default();
@@ -170,11 +171,11 @@
     leases.apply_list(at(0), Position::new(0, 1), vec![target(6_000, 1, 1)]);
     assert_eq!(leases.cold_remaining(at(2_000), &id), Duration::from_secs(4));
     let put = |cold, renewal, start| vec![Change::Put(target(cold, renewal, start))];
-    // Each renewal says the same, which is no news.
+    // Each renewal reports the same end of the cold time, which is no change.
     assert!(leases.apply_changes(at(2_000), Position::new(0, 2), put(4_100, 2, 1)).is_empty());
     assert_eq!(leases.snapshot(at(3_000))[0].cold_ms, 3_100);
     assert_eq!(leases.cold_remaining(at(7_000), &id), Duration::ZERO);
-    // Cold again without a restart, and after one.
+    // The target is cold again without a restart, and after one.
     assert_eq!(leases.apply_changes(at(8_000), Position::new(0, 3), put(5_000, 3, 1)).len(), 1);
     assert!(leases.apply_changes(at(8_500), Position::new(0, 4), put(0, 2, 1)).is_empty());
     assert_eq!(leases.cold_remaining(at(9_000), &id), Duration::from_secs(4));
@@ -184,7 +185,7 @@
     assert_eq!(leases.cold_remaining(at(9_500), &id), Duration::from_secs(6));
 }
 
-/// Guards against an entry that decides not knowing what the one that asks knows.
+/// Guards against an owner that does not know that a target is cold although the asking entry does.
 #[test]
 fn cold_update_of_another_entry_is_applied() {
     let mut leases = Leases::default();
--- a/crates/policy/tests/cordon.rs
+++ b/crates/policy/tests/cordon.rs
@@ -1,4 +1,4 @@
-//! Failure domains that are cordoned, as entries read, tell and hear of them.
+//! Cordoned failure domains, as entries read and announce them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     cordons.all().cloned().collect()
 }
 
-/// Guards against an older reading, or an older word of a peer, undoing a newer one.
+/// Guards against an older reading, or an older update of a peer, replacing a newer one.
 #[test]
 fn newest_position_wins() {
     let mut cordons = Cordons::default();
@@ -45,7 +45,8 @@
     assert_eq!(cordoned(&cordons), set(&[]));
 }
 
-/// Guards against entries that disagree for good, whatever order they read and hear in.
+/// Guards against entries that never agree because they receive readings and updates in different
+/// orders.
 #[test]
 fn three_hundred_entries_converge() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
@@ -61,7 +62,8 @@
                 Change::Set(one)
             }
         };
-        // Two read it, late ones read the whole list, the rest are told by whomever they meet.
+        // Two entries read the change, a late one reads the whole list, and updates pass between
+        // random pairs.
         let now = at(revision * 100);
         for nth in [0, 1] {
             entries[nth].apply_changes(
@@ -87,7 +89,8 @@
     assert!(entries.iter().all(|one| cordoned(one) == registry));
 }
 
-/// Guards against a copy of the registry that lacks a cordon opening its domain, here or at those told.
+/// Guards against a restored registry that lacks a cordon opening the domain at once, either at the
+/// entry that reads it or at one that receives its update.
 #[test]
 fn cordon_outlives_a_restore_for_the_grace_period() {
     let (mut reader, mut receiver) = (Cordons::default(), Cordons::default());
@@ -101,7 +104,7 @@
         assert!(one.expire(at(1_200 + grace_ms)));
         assert_eq!(cordoned(one), set(&["b"]));
     }
-    // Written again in time, it stays.
+    // A cordon that is written again in time stays.
     let mut again = Cordons::default();
     again.apply_list(at(0), Position::new(0, 50), set(&["a"]));
     again.apply_list(at(1_000), Position::new(1, 20), set(&[]));
@@ -110,7 +113,7 @@
     assert_eq!(cordoned(&again), set(&["a"]));
 }
 
-/// Guards against a domain that was cordoned being taken for warm at once.
+/// Guards against a domain counting as warm right after its cordon was lifted.
 #[test]
 fn domain_counts_as_cold_after_its_cordon_is_lifted() {
     let mut cordons = Cordons::default();
@@ -121,7 +124,8 @@
     assert_eq!(cordons.settle_remaining(at(1_000) + SETTLE_TIME, &domain("a")), Duration::ZERO);
 }
 
-/// Guards against heartbeats that go on telling what all have heard, or leave out a removal.
+/// Guards against heartbeats that repeat forever what all entries know, and against ones that leave
+/// out a lifted cordon.
 #[test]
 fn lifted_cordon_is_announced_until_settled() {
     let mut cordons = Cordons::default();
@@ -138,7 +142,8 @@
     assert!(cordons.heartbeat_update(at(60_000) + SETTLE_TIME).is_none());
 }
 
-/// Guards against entries that start together, each told by peers that did not know yet, and never again.
+/// Guards against entries that start together never learning that there are no cordons: the peers
+/// that updated them did not know it yet.
 #[test]
 fn empty_set_is_announced_after_the_first_reading() {
     let (mut reader, mut receiver) = (Cordons::default(), Cordons::default());
@@ -148,7 +153,7 @@
     assert!(receiver.is_known() && receiver.heartbeat_update(at(1_300)).is_some());
 }
 
-/// Guards against another writer's entries filling the memory.
+/// Guards against registry entries of another writer filling the memory.
 #[test]
 fn number_of_domains_is_bounded() {
     let mut cordons = Cordons::default();
--- a/crates/policy/tests/gate_cordon.rs
+++ b/crates/policy/tests/gate_cordon.rs
@@ -1,4 +1,4 @@
-//! Pattern `cordoned-third`: a third of the engines gets nothing new while answers go on coming.
+//! A third of the engines is cordoned under load.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,12 +19,12 @@
 const OBJECTIVE: Duration = Duration::from_millis(1_500);
 const TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long a question's answer takes.
+/// How long the answer to a request takes.
 const ANSWER_TIME: Duration = Duration::from_millis(900);
 
 const POLL: Duration = Duration::from_millis(20);
 
-/// When the third is cordoned, and when that is lifted.
+/// When the third is cordoned and when the cordon is lifted, in milliseconds.
 const CORDON_MS: (u64, u64) = (10_000, 20_000);
 
 fn at(ms: u64) -> Time {
@@ -70,22 +70,22 @@
     }
 }
 
-/// What became of those asked while the third was cordoned.
+/// Outcomes of the requests that arrived while the third was cordoned.
 #[derive(Debug, Default)]
 struct Results {
     requests: usize,
     on_time: usize,
     late: usize,
     refused: usize,
-    /// Requests that reached the third meanwhile.
+    /// Requests that were sent to the third meanwhile.
     sent_to_cordoned: usize,
     /// The longest wait for a refusal.
     max_refusal_wait: Duration,
-    /// Sent to each of the third within a quarter of a second after its return.
+    /// The most requests sent to any engine of the third within 250 ms after the cordon was lifted.
     max_burst: usize,
 }
 
-/// Half a minute of questions, so many a second.
+/// Simulates 30 s of requests at the given rate.
 fn run(requests_per_second: f64) -> Results {
     let mut rng = SmallRng::seed_from_u64(11);
     let mut arrivals = SmallRng::seed_from_u64(13);
@@ -145,7 +145,8 @@
     results
 }
 
-/// Guards against sends to the third, and against the rest not carrying what it can.
+/// Guards against requests being sent to the cordoned third, and against the other engines carrying
+/// less than they can.
 #[parameterized(
     half = { 20.0, 0.99 },
     full = { 40.0, 0.9 },
@@ -159,14 +160,16 @@
     assert!(results.max_refusal_wait <= OBJECTIVE + Duration::from_millis(500), "{results:?}");
 }
 
-/// Guards against all that waits rushing to engines that come back and look empty.
+/// Guards against all waiting requests being sent at once to engines that look idle after their
+/// cordon was lifted.
 #[test]
 fn uncordoned_engines_are_not_flooded() {
     let results = run(80.0);
     assert!(results.max_burst <= 12, "{results:?}");
 }
 
-/// Guards against a repeat, or an answer that must go on elsewhere, choosing a cordoned engine.
+/// Guards against a retry, or an answer that must be resumed elsewhere, selecting a cordoned
+/// engine.
 #[test]
 fn gate_never_selects_a_cordoned_engine() {
     let (mut gate, mut rng) = (gate(), SmallRng::seed_from_u64(1));
@@ -182,7 +185,8 @@
     let lookup = Ask { avoid: Some(engine(0)), ..lookup };
     assert_eq!(gate.offer(at(0), &mut rng, lookup), Verdict::Send(engine(0)));
     assert_eq!(gate.exclusions(at(0)), BTreeMap::from([(Exclusion::Cordoned, ENGINES - 1)]));
-    // The last one as well: nothing waits for a place that does not come.
+    // Once the last engine is cordoned as well, waiting requests are refused, since no place will
+    // become free.
     gate.set_cordoned(at(10), &(0..ENGINES).map(engine).collect());
     let decided = gate.poll(at(20), &mut rng);
     let [(waiting, Verdict::Refuse(refusal))] = &decided[..] else { panic!("{decided:?}") };
@@ -190,7 +194,7 @@
     assert!(refusal.retry_after >= Duration::from_secs(1));
 }
 
-/// Guards against entries that rush together to engines that come back.
+/// Guards against all entries sending at once to engines whose cordon was lifted.
 #[test]
 fn entries_stagger_sends_to_uncordoned_engines() {
     let hosts: Vec<id::Host> =
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Which targets take work while the registry that lists them comes and goes.
+//! Leases of targets in a registry that may be unavailable.
 
 use std::time::Duration;
 
@@ -38,7 +38,8 @@
     Time::ZERO + Duration::from_millis(ms)
 }
 
-/// A target is taken out and an older reading still lists it: work would go to a process that ends.
+/// Guards against sending work to a process that is about to end: its target was removed, but an
+/// older reading still lists it.
 #[test]
 fn removed_targets_are_not_revived_by_older_readings() {
     let mut leases = Leases::default();
@@ -51,7 +52,8 @@
     assert!(ready(&leases).is_empty());
 }
 
-/// Two readings overtake each other; the list that was read first must not undo the later one.
+/// Guards against two readings arriving out of order, so that the earlier list replaces the later
+/// one.
 #[test]
 fn older_list_is_ignored() {
     let mut leases = Leases::default();
@@ -60,8 +62,8 @@
     assert_eq!(ready(&leases), ["a", "b"]);
 }
 
-/// Answers that still run at a target are to be moved from it: its address must stay known when its
-/// entry is gone.
+/// Guards against losing the address of a removed target while answers that run there must still be
+/// migrated.
 #[test]
 fn removed_target_stays_known_until_its_tombstone_expires() {
     let mut leases = Leases::default();
@@ -74,8 +76,8 @@
     assert_eq!(leases.get(&id), None, "but not for good");
 }
 
-/// The registry was down, entries lapsed, and the first list after its return lacks targets that
-/// live. They serve on; one that is not back in time is gone.
+/// Guards against removing live targets after an outage: their leases expired while the registry
+/// was down, so its first list lacks them. Targets that are not listed again in time are removed.
 #[test]
 fn missing_targets_stay_ready_after_an_outage() {
     let mut leases = Leases::default();
@@ -89,7 +91,7 @@
     assert_eq!(ready(&leases), ["b", "c"]);
 }
 
-/// What drained before the outage has no claim to be waited for.
+/// Guards against a grace period for targets that were draining before the outage.
 #[test]
 fn draining_targets_get_no_grace() {
     let mut leases = Leases::default();
@@ -100,7 +102,7 @@
     assert_eq!(leases.all().count(), 0);
 }
 
-/// Only what differs wakes anyone: entries are renewed many times a second.
+/// Guards against renewals, which come many times a second, waking anything.
 #[test]
 fn renewal_is_no_change() {
     let mut leases = Leases::default();
@@ -113,9 +115,9 @@
     Target { renewal, ..target(name) }
 }
 
-/// Members are refused for a minute although every search target is free: the registry hung for
-/// five seconds, all entries lapsed, and the watch that had waited through it was answered with
-/// their removal. No call had failed, so nobody knew of an outage.
+/// Guards against refusing all requests for a minute although every target is free: the registry
+/// hung for five seconds, all leases expired, and the watch that waited through it was answered
+/// with their removal. No call had failed, so no outage was detected.
 #[test]
 fn mass_lapse_during_a_hung_watch_starts_grace() {
     let mut leases = Leases::default();
@@ -128,8 +130,8 @@
     assert_eq!(ready(&leases), ["b"]);
 }
 
-/// Two of many targets leave in one reading; work must not go on to them for seconds because an
-/// outage was suspected.
+/// Guards against suspecting an outage, and sending work to removed targets for seconds, when three
+/// of six targets leave in one reading.
 #[test]
 fn half_of_the_targets_leave_at_once() {
     let mut leases = Leases::default();
@@ -139,9 +141,9 @@
     assert_eq!(ready(&leases), ["d", "e", "f"]);
 }
 
-/// A target is cut off from the registry for longer than its lease and is removed; when the cut
-/// heals it renews its entry and serves, but its name counted as that of one that left, and it got
-/// no work for a minute.
+/// Guards against a target getting no work for a minute after it was cut off from the registry for
+/// longer than its lease: it was removed, and its renewals after that counted as those of a target
+/// that had left.
 #[test]
 fn lapsed_target_returns_with_a_newer_renewal() {
     let mut leases = Leases::default();
@@ -166,8 +168,8 @@
     assert_eq!(ready(&leases), ["b"]);
 }
 
-/// Entries that read no registry themselves go on sending to a target that is gone since an outage:
-/// the one that watches for them dropped it, but showed no newer revision than they had.
+/// Guards against entries that do not read the registry themselves sending to a target that was
+/// removed after an outage, because the entry that reads it showed no newer position than theirs.
 #[test]
 fn expiry_advances_the_position() {
     let mut leases = Leases::default();
@@ -183,9 +185,9 @@
     Target { start: Some(Start::new(start)), renewal, ..target(name) }
 }
 
-/// An engine crashes while it drains and starts again under its name. Its entry says ready, and its
-/// renewals count from one again: taken for a late reading of the old start it would never get work,
-/// and a service all of whose engines were restarted so would be refused for a minute.
+/// Guards against treating an engine that crashed while draining and restarted under its name as a
+/// late reading of its old start, since its renewals count from one again. It would get no work,
+/// and a service whose engines all restarted in this way would be refused for a minute.
 #[test]
 fn restarted_target_takes_work() {
     let mut leases = Leases::default();
@@ -212,8 +214,8 @@
     assert_eq!(leases.get(&target("a").id).map(|t| t.renewal), Some(1));
 }
 
-/// Readings overtake each other: one of the earlier start that comes late must not take the target
-/// back to what it was, nor bring back one that left for good.
+/// Guards against a late reading of an earlier start reverting a target to its old state, or
+/// reviving one that was removed.
 #[test]
 fn late_reading_of_an_earlier_start_is_ignored() {
     let mut leases = Leases::default();
@@ -237,7 +239,7 @@
     Position::new(era, revision)
 }
 
-/// Guards against the list of a registry that came back from a copy being dropped as old.
+/// Guards against the list of a restored registry being dropped as old.
 #[test]
 fn list_of_a_later_era_replaces_higher_revisions() {
     let mut leases = Leases::default();
@@ -245,13 +247,14 @@
     assert!(leases.apply_list(at(10), position(1, 4), vec![target("a"), target("b")]));
     assert!(leases.is_ready(&target("b").id));
     assert_eq!(leases.position(), position(1, 4));
-    // What is told of the era before says nothing any more.
+    // Updates of the previous era are ignored.
     assert!(!leases.apply_list(at(20), position(0, 99), vec![target("a")]));
     assert!(!leases.apply_change(at(20), position(0, 99), Change::Gone(target("b").id)));
     assert!(leases.is_ready(&target("b").id));
 }
 
-/// Guards against targets of the lost seconds being cut off, or being kept for good.
+/// Guards against removing targets that were written after the registry's copy was made, and
+/// against keeping them forever.
 #[test]
 fn targets_missing_after_a_restore_stay_for_the_grace_period() {
     let mut leases = Leases::default();
@@ -264,7 +267,7 @@
     assert!(!leases.is_ready(&target("c").id));
 }
 
-/// Guards against a target that drains, or left, being listed as ready by a copy of before.
+/// Guards against a draining or removed target becoming ready because a restored registry lists it.
 #[test]
 fn restore_revives_no_draining_or_removed_target() {
     let mut leases = Leases::default();
@@ -277,7 +280,7 @@
     assert!(leases.is_ready(&target("c").id));
 }
 
-/// Guards against the second of two restores in a row being taken for the first.
+/// Guards against confusing the second of two consecutive restores with the first.
 #[test]
 fn consecutive_restores_are_separate_eras() {
     let mut leases = Leases::default();
--- a/crates/policy/tests/migration_queue.rs
+++ b/crates/policy/tests/migration_queue.rs
@@ -1,4 +1,4 @@
-//! Pattern `reclaim`: answers of several entries leave one engine over its one link.
+//! Answers of several entries are migrated from one engine over its single link.
 
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
     queues.poll(at(ms)).into_iter().map(|(_, migration)| migration.request.to_string()).collect()
 }
 
-/// Copies that share a link stand in each other's way: only one answer moves at a time, and the
-/// longest goes first, since it is the most certain to be cut where it is.
+/// Guards against copies that slow each other down on the same link, and against a short answer
+/// going before the longest one, which is the most certain to be interrupted.
 #[test]
 fn migrations_run_one_at_a_time_longest_first() {
     let mut queues = Queues::new();
@@ -44,7 +44,8 @@
     assert!(queues.is_idle());
 }
 
-/// An entry dies with the turn: all others would wait until the engine is gone.
+/// Guards against an entry that dies during its migration and makes all others wait until the
+/// engine is gone.
 #[test]
 fn unfinished_migration_times_out() {
     let mut queues = Queues::new();
@@ -55,7 +56,7 @@
     assert_eq!(poll(&mut queues, 950), ["next"]);
 }
 
-/// An answer ends before its turn comes; nobody waits for it.
+/// Guards against waiting for an answer that ended before its migration started.
 #[test]
 fn finished_answer_leaves_the_queue() {
     let mut queues = Queues::new();
@@ -65,7 +66,8 @@
     assert_eq!(poll(&mut queues, 20), ["next"]);
 }
 
-/// Two engines leave at once; they have a link each.
+/// Guards against two engines, each with its own link, waiting for each other when they leave at
+/// once.
 #[test]
 fn engines_have_separate_queues() {
     let mut queues = Queues::new();
--- a/crates/policy/tests/registry_restore.rs
+++ b/crates/policy/tests/registry_restore.rs
@@ -1,4 +1,4 @@
-//! Pattern `restore`: a registry comes back from an older copy while hundreds of entries know its list.
+//! A registry is restored from an older copy while hundreds of entries hold its previous list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 const ENTRIES: usize = 300;
 
-/// Time between two heartbeats.
+/// The time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Entries that read the registry for all.
+/// How many entries read the registry for all.
 const READERS: usize = 2;
 
 fn at(ms: u64) -> Time {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A fleet that knows a list of the era before, and the registry as it came back.
+/// A fleet that holds a list of the previous era, and the registry as restored.
 struct Fleet {
     entries: Vec<Leases>,
     registry: (Position, BTreeMap<String, Target>),
@@ -56,8 +56,8 @@
         self.registry.1.insert(target.id.to_string(), target);
     }
 
-    /// One heartbeat: those that read do, and each takes the list of the member before that knows more;
-    /// the second half hears nothing before `late`.
+    /// Simulates one heartbeat: the readers read the registry, and every other entry takes the list
+    /// of a reader if it is newer. The second half of the entries receives nothing before `late`.
     fn heartbeat(&mut self, now: Time, late: Time) {
         let list: Vec<Target> = self.registry.1.values().cloned().collect();
         for nth in 0..READERS {
@@ -94,7 +94,8 @@
     }
 }
 
-/// Guards against entries that know greater revisions of before outbidding those that read anew.
+/// Guards against higher revisions of the previous era taking precedence over the list of the new
+/// one.
 #[parameterized(together = { 0 }, half_three_seconds_later = { 3_000 })]
 fn entries_adopt_the_list_of_the_new_era(late: u64) {
     let mut fleet = Fleet::open(&[target("old", 1)], &[target("old", 1), target("new", 2)]);
@@ -106,7 +107,8 @@
     assert_eq!(fleet.reads, READERS);
 }
 
-/// Guards against a target whose address another has since being used again by a copy that lists it.
+/// Guards against a restored registry reviving a target whose address was since reassigned to
+/// another.
 #[test]
 fn reassigned_address_stays_with_its_new_target() {
     let (gone, successor) = (target("gone", 7), target("successor", 7));
@@ -122,11 +124,12 @@
     fleet.write(successor);
     fleet.run(1_600, 6_000, at(0));
     assert_eq!((fleet.ready_count("gone"), fleet.ready_count("successor")), (0, ENTRIES));
-    // What was not written again is gone by now.
+    // Targets that were not written again have been removed by now.
     assert_eq!(fleet.ready_count("kept"), 0);
 }
 
-/// Guards against an entry that starts being told the list of before by one that has not heard yet.
+/// Guards against an entry that has just started adopting the previous list from an entry that is
+/// behind.
 #[test]
 fn entry_that_starts_between_eras_ends_on_the_new_one() {
     let (old, new) = (target("old", 1), target("new", 2));
--- a/crates/policy/tests/support/cold_fleet.rs
+++ b/crates/policy/tests/support/cold_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet before targets that come back cold, in virtual time.
+//! Simulates a fleet with cold targets in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,26 +13,26 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The way between two entries, and from an entry to a target.
+/// The delay between two entries, and from an entry to a target.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
 
-/// By how much the ways of requests to targets differ.
+/// The range by which the delays of requests to targets differ.
 const JITTER_MS: u64 = 8;
 
-/// How long an entry waits for leave.
+/// How long an entry tries to send a request to a cold target.
 const TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The targets are cold from the beginning until then.
+/// How long the targets are cold, from the beginning on.
 pub(crate) const COLD_PERIOD: Duration = Duration::from_secs(6);
 
-/// How the bound is kept.
+/// How the limit is enforced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Strategy {
-    /// One entry keeps the bucket of a target.
+    /// One entry owns the bucket of a target.
     Owner,
-    /// Each entry has its part of the rate.
+    /// Each entry has an equal share of the rate.
     StaticShares,
-    /// Each sends more as the target gets warm, and asks nobody.
+    /// Each entry sends more as the target warms up, without an owner.
     Ramp,
 }
 
@@ -40,18 +40,18 @@
 pub(crate) enum Traffic {
     AllEntries,
     OneEntry,
-    /// Another one each second.
+    /// Another entry each second.
     Rotating,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
-    /// The halves can't reach each other.
+    /// The two halves can't reach each other.
     Partition,
-    /// A third can't.
+    /// A third of the entries can't reach the others.
     UnevenPartition,
-    /// The entries that decide start anew each second.
+    /// All entries lose their buckets each second.
     Restarts,
 }
 
@@ -59,9 +59,9 @@
 pub(crate) struct Scenario {
     pub(crate) strategy: Strategy,
     pub(crate) entries: usize,
-    /// Targets that are cold; all others are warm.
+    /// Cold targets; all others are warm.
     pub(crate) targets: usize,
-    /// Requests a second of all, each of which would rather go to a cold target.
+    /// Requests a second from all callers, each of which prefers a cold target.
     pub(crate) requests_per_second: f64,
     pub(crate) per_s: f64,
     pub(crate) excess: f64,
@@ -86,20 +86,20 @@
     }
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 pub(crate) struct Results {
-    /// Requests that reached each cold target.
+    /// Arrivals at each cold target.
     arrivals: Vec<Vec<Time>>,
     pub(crate) sent_elsewhere: usize,
-    /// Questions to the entries that decide.
+    /// Requests for a token that were made to owners.
     pub(crate) owner_requests: usize,
-    /// The longest that any request was kept from a target.
+    /// The longest that any request waited for a target.
     pub(crate) max_wait: Duration,
 }
 
 impl Results {
-    /// The most that any target got in any second.
+    /// Returns the most requests that any target got in any second.
     pub(crate) fn max_per_second(&self) -> usize {
         let second = Duration::from_secs(1);
         let of = |arrivals: &Vec<Time>| {
@@ -111,7 +111,7 @@
         self.arrivals.iter().map(of).max().unwrap_or_default()
     }
 
-    /// The part of what cold targets take that they got.
+    /// Returns the fraction of the cold targets' limits that was used.
     pub(crate) fn utilization(&self, scenario: &Scenario) -> f64 {
         let got: usize = self.arrivals.iter().map(Vec::len).sum();
         got as f64 / (scenario.per_s * COLD_PERIOD.as_secs_f64() * scenario.targets as f64)
@@ -128,7 +128,8 @@
 struct Entry {
     buckets: Buckets,
     blocked_until: Vec<Time>,
-    /// What is left of its own part, for [`Strategy::StaticShares`].
+    /// Remaining tokens of the entry's own shares, and when they were last refilled, for
+    /// [`Strategy::StaticShares`].
     share_buckets: Vec<(f64, Time)>,
 }
 
@@ -164,7 +165,7 @@
             scenario,
         };
         for nth in 0..scenario.entries {
-            // All were alive before, and those of its own side are now.
+            // All entries were alive before; now only those of the same side are.
             let reachable =
                 (0..scenario.entries).filter(|other| simulation.can_reach(nth, *other)).count();
             let buckets = &mut simulation.entries[nth].buckets;
--- a/crates/policy/tests/support/limited_fleet.rs
+++ b/crates/policy/tests/support/limited_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet before a target that names a limit, in virtual time.
+//! Simulates a fleet with a target that advertises a limit, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,21 +13,21 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// From what one entry notes until the others hear of it.
+/// The delay from an answer that changes a limit until the other entries receive the update.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(30);
 
-/// From a question to the entry that decides, and from a request to its answer.
+/// The delay to the owner and to the target, and the time from a request's arrival to its answer.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
 const ANSWER_TIME: Duration = Duration::from_millis(25);
 
-/// When the target begins to name its limit, and from when it is to be kept to.
+/// When the target starts to advertise its limit, and from when on the limit must be enforced.
 pub(crate) const ADVERTISED_FROM: Duration = Duration::from_secs(5);
 pub(crate) const ENFORCED_FROM: Duration = Duration::from_secs(10);
 
-/// The span of the bound.
+/// The window in which arrivals are counted against the limit.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// A target as it is listed.
+/// Creates a target as the registry lists it.
 pub(crate) fn target(name: &str, start: Option<u64>) -> Target {
     Target {
         id: name.parse().expect("a name"),
@@ -42,22 +42,22 @@
     }
 }
 
-/// Which entries callers use.
+/// Which entries receive the traffic.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Traffic {
     AllEntries,
     OneEntry,
-    /// Another one each second.
+    /// Another entry each second.
     Rotating,
 }
 
-/// What happens to entries.
+/// Faults of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
-    /// The halves can't reach each other from 12 to 30 s.
+    /// The two halves can't reach each other from 12 to 30 s.
     Partition,
-    /// The entry that decides is started anew each two seconds.
+    /// The owner restarts every two seconds.
     Restarts,
     /// Entries join, one each second.
     EntriesJoin,
@@ -68,24 +68,24 @@
     pub(crate) entries: usize,
     /// Requests a second.
     pub(crate) requests_per_second: f64,
-    /// The limit from [`ADVERTISED_FROM`] on, by the second.
+    /// The limit in each second from [`ADVERTISED_FROM`] on.
     pub(crate) limit: fn(u64) -> Option<f64>,
     pub(crate) traffic: Traffic,
     pub(crate) fault: Fault,
     pub(crate) seconds: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 pub(crate) struct Results {
-    /// Requests that reached the target.
+    /// Arrivals at the target.
     pub(crate) arrivals: Vec<Time>,
-    /// Requests that another target got.
+    /// Requests that went to another target.
     pub(crate) sent_elsewhere: usize,
 }
 
 impl Results {
-    /// The most in [`WINDOW`] from a second on.
+    /// Returns the most arrivals in any [`WINDOW`] that begins at `from` or later.
     pub(crate) fn max_in_window(&self, from: Duration) -> usize {
         let arrivals = || self.arrivals.iter().filter(|at| **at >= Time::ZERO + from);
         let within = |first: &Time| {
@@ -95,7 +95,7 @@
         arrivals().map(within).max().unwrap_or_default()
     }
 
-    /// Requests from one second to another.
+    /// Returns the number of arrivals between two times in seconds.
     pub(crate) fn between(&self, from: u64, to: u64) -> usize {
         let (from, to) = (Duration::from_secs(from), Duration::from_secs(to));
         let within = |at: &&Time| **at >= Time::ZERO + from && **at < Time::ZERO + to;
@@ -171,7 +171,7 @@
         self.entries[other].up && !(partitioned && one % 2 != other % 2)
     }
 
-    /// The entry that decides, as one of them sees it.
+    /// Returns the owner of the target's bucket as seen by one entry.
     fn owner(&self, entry: usize) -> usize {
         let reached: Vec<(usize, String)> =
             self.names.iter().filter(|(nth, _)| self.can_reach(entry, *nth)).cloned().collect();
--- a/crates/policy/tests/target_limit.rs
+++ b/crates/policy/tests/target_limit.rs
@@ -1,4 +1,4 @@
-//! Pattern `named-limits`: targets that name how many requests a second they take.
+//! Limits that targets advertise, in requests a second.
 
 #[path = "support/limited_fleet.rs"]
 mod limited_fleet;
@@ -12,12 +12,12 @@
 use limited_fleet::{ENFORCED_FROM, Fault, Scenario, Simulation, Traffic, target};
 use yare::parameterized;
 
-/// The bound in a span of four seconds.
+/// The most requests that a target may get within four seconds.
 fn max_allowed(limit: f64) -> f64 {
     1.5 * limit * 4.0 + 5.0
 }
 
-/// The part of its limit that a target must get where more is asked.
+/// The fraction of its limit that a target must get when more requests arrive.
 const MIN_UTILIZATION: f64 = 0.9;
 
 fn at(ms: u64) -> Time {
@@ -33,7 +33,8 @@
     Scenario { entries, requests_per_second, limit, traffic, fault, seconds: 40 }
 }
 
-/// Guards against a limit being kept by each entry for itself, whichever entries have the traffic.
+/// Guards against each entry applying a limit on its own, however traffic is spread over the
+/// entries.
 #[parameterized(
     two_entries = { 2, 40.0, Traffic::AllEntries, Fault::None },
     many_entries = { 195, 40.0, Traffic::AllEntries, Fault::None },
@@ -61,7 +62,8 @@
     assert!(utilization >= MIN_UTILIZATION, "{utilization}");
 }
 
-/// Guards against the limit being passed where its bucket starts anew or stands on both sides.
+/// Guards against a limit being exceeded when its bucket is created anew or exists on both sides of
+/// a partition.
 #[parameterized(
     partition = { Fault::Partition, 0.9 },
     owner_restarts = { Fault::Restarts, 0.7 },
@@ -76,7 +78,7 @@
     assert!(utilization >= min, "{utilization}");
 }
 
-/// Guards against shares under one request a second adding up to several, or to none.
+/// Guards against shares below one request a second that add up to several, or to none.
 #[test]
 fn limit_below_one_a_second_is_enforced_and_used() {
     let results = Simulation::new(scenario(195, 40.0, |_| Some(0.5))).run();
@@ -88,7 +90,7 @@
     );
 }
 
-/// Guards against a limit that falls being kept to late, and one that rises or is gone not at all.
+/// Guards against a decrease that takes effect late, and an increase or removal that never does.
 #[test]
 fn changed_limit_takes_effect() {
     let limit = |second| match second {
@@ -106,7 +108,7 @@
     assert!(free as f64 >= 0.95 * 60.0 * 6.0, "{free}");
 }
 
-/// Guards against a target that takes nothing being forgotten, or hammered.
+/// Guards against a target with a limit of zero being abandoned or overloaded.
 #[test]
 fn target_with_a_zero_limit_is_probed() {
     let results = Simulation::new(scenario(60, 60.0, |_| Some(0.0))).run();
@@ -115,7 +117,7 @@
     assert!(results.max_in_window(ENFORCED_FROM) as f64 <= max_allowed(0.0));
 }
 
-/// Guards against an answer that was overtaken lifting a limit that is in force.
+/// Guards against an answer that arrives out of order clearing a limit that is in force.
 #[test]
 fn answer_to_an_older_request_clears_no_limit() {
     let (mut limits, target) = (Limits::default(), target("t-1", None));
@@ -126,7 +128,7 @@
     assert_eq!(limits.limit(&target.id), None);
 }
 
-/// Guards against what cannot be read ending a limit or naming one.
+/// Guards against an invalid limit clearing or setting a limit.
 #[parameterized(
     text = { "few" },
     negative = { "-3" },
@@ -144,7 +146,7 @@
     assert_eq!(limits.limit(&target.id), Some(RequestRate::new(5.0)));
 }
 
-/// Guards against a target that started again being held to what it said before.
+/// Guards against the limit of an earlier start being applied to a target that restarted.
 #[test]
 fn restart_clears_the_limit() {
     let (mut limits, old) = (Limits::default(), target("t-1", Some(1)));
@@ -152,7 +154,7 @@
     limits.record_answer(at(100), &old, at(50), rate(5.0));
     limits.retain(|_| Some(&new));
     assert_eq!(limits.limit(&old.id), None);
-    // What others heard of the old start comes later.
+    // An update about the old start arrives late.
     let mut other = Limits::default();
     other.record_answer(at(100), &old, at(50), rate(5.0));
     limits.record_answer(at(200), &new, at(150), rate(9.0));
@@ -160,7 +162,7 @@
     assert_eq!(limits.limit(&new.id), Some(RequestRate::new(9.0)));
 }
 
-/// Guards against the word of an entry that heard nothing since overruling a newer one.
+/// Guards against an outdated update of another entry replacing a newer limit.
 #[test]
 fn latest_update_wins() {
     let (mut limits, target) = (Limits::default(), target("t-1", None));
@@ -173,7 +175,7 @@
     assert_eq!(other.limit(&target.id), Some(RequestRate::new(2.0)));
 }
 
-/// Guards against all that were sent away coming back in the same moment.
+/// Guards against deferred requests all returning at the same moment.
 #[test]
 fn deferred_requests_are_spaced() {
     let (mut buckets, target) = (Buckets::default(), target("t-1", None));
--- a/crates/policy/tests/workspace_limit.rs
+++ b/crates/policy/tests/workspace_limit.rs
@@ -22,8 +22,8 @@
     limits
 }
 
-/// One workspace opens streams through all eight entries at once. Without a division it would get
-/// its limit eight times, and the other members' pages would wait behind it all night.
+/// Guards against a workspace getting its limit once for each entry when it opens streams through
+/// all eight entries, so that the requests of others wait behind it.
 #[test]
 fn stream_limit_holds_across_all_entries() {
     let published = hosts(8);
@@ -36,8 +36,8 @@
     assert_eq!(open, 10);
 }
 
-/// A workspace keeps to the entry that it was told to use. With equal parts it would get an
-/// eighth of what the operators allow.
+/// Guards against equal parts, with which a workspace that uses only the entry to which it is
+/// directed would get an eighth of its limit.
 #[test]
 fn first_ranked_entry_has_half_of_the_limit() {
     let published = hosts(8);
@@ -45,8 +45,9 @@
     assert_eq!(Part::of(&workspace(), ranked[0], &published).streams(10), 5);
 }
 
-/// One answer runs to tens of thousands of tokens. It is finished, and what it overdrew is
-/// earned back before the workspace's next one begins; the refusal says when that is.
+/// Guards against answers of tens of thousands of tokens that overdraw the limit without
+/// consequence. Such an answer is finished, but new streams are refused until the debt is refilled,
+/// and the refusal says when that is.
 #[test]
 fn refusal_lasts_until_overdrawn_tokens_are_refilled() {
     let published = hosts(1);
@@ -59,8 +60,8 @@
     assert_eq!(limits.admit(Time::ZERO + wait, &workspace()), Ok(()));
 }
 
-/// A host drops out of the published list but has not heard of it and goes on using its part.
-/// The others grow by small steps, so that the workspace does not get both parts at once.
+/// Guards against a workspace getting two parts at once when a host has dropped out of the
+/// published list but does not know it yet and still uses its part.
 #[test]
 fn part_shrinks_at_once_and_grows_gradually() {
     let published = hosts(2);
@@ -83,7 +84,8 @@
 }
 
 proptest! {
-    /// Whatever the list and the limit, the parts of all entries sum to the whole.
+    /// Guards against host lists or limits for which the parts of all entries do not sum to the
+    /// whole.
     #[test]
     fn parts_sum_to_one(count in 1usize..40, streams in 0u32..500, name in "[a-z]{1,8}") {
         let workspace: Workspace = name.parse().expect("a name");
