--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -283,7 +283,7 @@
         std::mem::take(&mut self.restarted)
     }
 
-    /// Marks a target as draining because it said so itself, and returns whether it was ready
+    /// Marks a target as draining because it announced so itself, and returns whether it was ready
     /// before.
     pub fn mark_draining(&mut self, id: &id::Target) -> bool {
         let Some(lease) = self.live.get_mut(id) else { return false };
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -25,7 +25,7 @@
 /// Seconds' worth of requests that a bucket holds in addition to [`BURST_REQUESTS`].
 const BURST_SECONDS: f64 = 0.5;
 
-/// The longest time for which an entry is told not to use a target before it asks again.
+/// The longest time for which an entry must not use a target before it asks again.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// For how long an entry that was alive counts as one that may still be sending. Failure domains
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -163,7 +163,7 @@
     assert!(leases.apply_change(at(50), revision(8), Change::Gone(target("a").id)));
     assert!(
         !leases.apply_change(at(60), revision(9), Change::Put(target_with_renewal("a", 99))),
-        "it had said that it drains"
+        "it had announced that it drains"
     );
     assert_eq!(ready(&leases), ["b"]);
 }
