--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -4,22 +4,22 @@
 
 use fireflyhoist_policy::cold;
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::intake::{Said, Word};
-use fireflyhoist_policy::keeper::Allowance;
 use fireflyhoist_policy::lease::{Leases, Target};
+use fireflyhoist_policy::target_limit::{Advertisement, Update};
 use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::Allowance;
 
 use crate::connection::frame::Question;
 use crate::process::state::{Process, millis};
 
 impl Process {
     /// Takes in what the answer to a request that was sent at `sent` says of its target's limit.
-    pub(crate) fn note_limit(&self, target: &Target, sent: Time, said: Said) {
-        if said == Said::Unreadable {
+    pub(crate) fn note_limit(&self, target: &Target, sent: Time, said: Advertisement) {
+        if said == Advertisement::Invalid {
             ::log::debug!(target:% = target.id; "limit of a target can't be read");
         }
         let mut intake = self.intake.lock();
-        if !intake.answered(self.clock.now(), target, sent, said) {
+        if !intake.record_answer(self.clock.now(), target, sent, said) {
             return;
         }
         let limit = intake.limit(&target.id);
@@ -35,7 +35,7 @@
 
     /// Targets that name a limit.
     pub(crate) fn limited_targets(&self) -> usize {
-        self.intake.lock().limited()
+        self.intake.lock().limited_count()
     }
 
     /// Notes how many entries are alive, among which limits hold.
@@ -48,17 +48,17 @@
         let now = self.clock.now();
         let leases = self.leases.lock();
         let Some(target) = leases.get(id) else { return Duration::ZERO };
-        let settles = self.cordons.lock().settles(now, &target.domain);
-        leases.cold(now, id).max(settles)
+        let settles = self.cordons.lock().settle_remaining(now, &target.domain);
+        leases.cold_remaining(now, id).max(settles)
     }
 
     /// What a target may get while it is cold; `None` where its service sets no bound.
-    fn cold_terms(&self, id: &id::Target) -> Option<cold::Terms> {
+    fn cold_terms(&self, id: &id::Target) -> Option<cold::Limit> {
         let service = self.leases.lock().get(id)?.service.clone();
         let warmup = self.table()?.service(&service)?.warmup?;
         let bounds = self.bounds();
         let (excess, margin) = (bounds.cold_excess, bounds.cold_margin);
-        Some(cold::Terms { per_s: warmup.per_s, excess, margin })
+        Some(cold::Limit { per_s: warmup.per_s, excess, margin })
     }
 
     /// What a target takes now.
@@ -68,7 +68,7 @@
             Duration::ZERO => None,
             _ => self.cold_terms(target),
         };
-        Allowance { named, cold }
+        Allowance { advertised: named, cold }
     }
 
     /// Targets that are cold.
@@ -78,8 +78,8 @@
     }
 
     /// Takes in that a target is cold.
-    pub(crate) fn hear_cold(&self, word: &cold::Word) {
-        self.leases.lock().note_cold(self.clock.now(), word);
+    pub(crate) fn hear_cold(&self, word: &cold::Update) {
+        self.leases.lock().apply_cold_update(self.clock.now(), word);
     }
 
     /// Grants a request to a target that takes only so much, or says when to ask again; only for the
@@ -99,35 +99,39 @@
     /// all that comes.
     pub(crate) fn question(&self, target: &id::Target) -> Option<Question> {
         let now = self.clock.now();
-        let Allowance { named, cold } = self.allowance(target);
+        let Allowance { advertised: named, cold } = self.allowance(target);
         if cold.is_some() {
             let start = self.leases.lock().get(target)?.start;
             let left = millis(self.cold_left(target));
-            return Some(Question::Cold(cold::Word { target: target.clone(), start, left }));
+            return Some(Question::Cold(cold::Update {
+                target: target.clone(),
+                start,
+                remaining_ms: left,
+            }));
         }
         named?;
-        self.intake.lock().word(now, target).map(Question::Send)
+        self.intake.lock().to_update(now, target).map(Question::Send)
     }
 
     /// What others should hear of.
-    pub(crate) fn take_limits(&self) -> Vec<Word> {
-        self.intake.lock().take_news(self.clock.now())
+    pub(crate) fn take_limits(&self) -> Vec<Update> {
+        self.intake.lock().take_updates(self.clock.now())
     }
 
     /// What an entry is told when its link opens.
-    pub(crate) fn all_limits(&self) -> Vec<Word> {
-        self.intake.lock().all(self.clock.now())
+    pub(crate) fn all_limits(&self) -> Vec<Update> {
+        self.intake.lock().all_updates(self.clock.now())
     }
 
     /// Takes in words of another entry; returns those that were news.
-    pub(crate) fn hear_limits(&self, words: Vec<Word>) -> Vec<Word> {
-        self.intake.lock().hear(self.clock.now(), words)
+    pub(crate) fn hear_limits(&self, words: Vec<Update>) -> Vec<Update> {
+        self.intake.lock().apply(self.clock.now(), words)
     }
 
     /// Forgets what targets said that are listed no more.
     pub(super) fn keep_limits(&self, leases: &Leases) {
         let mut intake = self.intake.lock();
-        intake.keep(|id| leases.get(id));
-        self.keeper.lock().keep(|target| leases.get(target).is_some());
+        intake.retain(|id| leases.get(id));
+        self.keeper.lock().retain(|target| leases.get(target).is_some());
     }
 }
--- /dev/null
+++ b/crates/policy/tests/support/cold_fleet.rs
@@ -0,0 +1,305 @@
+//! Simulates a fleet with cold targets in virtual time.
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::time::Duration;
+
+use fireflyhoist_policy::cold::Limit;
+use fireflyhoist_policy::id;
+use fireflyhoist_policy::rendezvous;
+use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::{Allowance, Buckets};
+use fireflyhoist_policy::unit::RequestRate;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+/// The delay between two entries, and from an entry to a target.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
+
+/// The range by which the delays of requests to targets differ.
+const JITTER_MS: u64 = 8;
+
+/// How long an entry tries to send a request to a cold target.
+const TIMEOUT: Duration = Duration::from_millis(100);
+
+/// How long the targets are cold, from the beginning on.
+pub(crate) const COLD_PERIOD: Duration = Duration::from_secs(6);
+
+/// How the limit is enforced.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Strategy {
+    /// One entry owns the bucket of a target.
+    Owner,
+    /// Each entry has an equal share of the rate.
+    StaticShares,
+    /// Each entry sends more as the target warms up, without an owner.
+    Ramp,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Traffic {
+    AllEntries,
+    OneEntry,
+    /// Another entry each second.
+    Rotating,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Fault {
+    None,
+    /// The two halves can't reach each other.
+    Partition,
+    /// A third of the entries can't reach the others.
+    UnevenPartition,
+    /// All entries lose their buckets each second.
+    Restarts,
+}
+
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Scenario {
+    pub(crate) strategy: Strategy,
+    pub(crate) entries: usize,
+    /// Cold targets; all others are warm.
+    pub(crate) targets: usize,
+    /// Requests a second from all callers, each of which prefers a cold target.
+    pub(crate) requests_per_second: f64,
+    pub(crate) per_s: f64,
+    pub(crate) excess: f64,
+    pub(crate) margin: f64,
+    pub(crate) traffic: Traffic,
+    pub(crate) fault: Fault,
+}
+
+impl Default for Scenario {
+    fn default() -> Self {
+        Self {
+            strategy: Strategy::Owner,
+            entries: 30,
+            targets: 15,
+            requests_per_second: 200.0,
+            per_s: 1.0,
+            excess: 1.5,
+            margin: 0.0,
+            traffic: Traffic::AllEntries,
+            fault: Fault::None,
+        }
+    }
+}
+
+/// Results of a simulation.
+#[derive(Debug, Default)]
+pub(crate) struct Results {
+    /// Arrivals at each cold target.
+    arrivals: Vec<Vec<Time>>,
+    pub(crate) sent_elsewhere: usize,
+    /// Requests for a token that were made to owners.
+    pub(crate) owner_requests: usize,
+    /// The longest that any request waited for a target.
+    pub(crate) max_wait: Duration,
+}
+
+impl Results {
+    /// Returns the most requests that any target got in any second.
+    pub(crate) fn max_per_second(&self) -> usize {
+        let second = Duration::from_secs(1);
+        let of = |arrivals: &Vec<Time>| {
+            let within = |(n, first): (usize, &Time)| {
+                arrivals[n..].iter().take_while(|at| **at <= *first + second).count()
+            };
+            arrivals.iter().enumerate().map(within).max().unwrap_or_default()
+        };
+        self.arrivals.iter().map(of).max().unwrap_or_default()
+    }
+
+    /// Returns the fraction of the cold targets' limits that was used.
+    pub(crate) fn utilization(&self, scenario: &Scenario) -> f64 {
+        let got: usize = self.arrivals.iter().map(Vec::len).sum();
+        got as f64 / (scenario.per_s * COLD_PERIOD.as_secs_f64() * scenario.targets as f64)
+    }
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Event {
+    Request { entry: usize, requested_at: Time },
+    Decide { entry: usize, target: usize, requested_at: Time, owner: usize },
+    Arrive { target: usize },
+}
+
+struct Entry {
+    buckets: Buckets,
+    blocked_until: Vec<Time>,
+    /// Remaining tokens of the entry's own shares, and when they were last refilled, for
+    /// [`Strategy::StaticShares`].
+    share_buckets: Vec<(f64, Time)>,
+}
+
+pub(crate) struct Simulation {
+    scenario: Scenario,
+    rng: ChaCha8Rng,
+    now: Time,
+    events: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    sequence: u64,
+    entries: Vec<Entry>,
+    names: Vec<(usize, String)>,
+    targets: Vec<id::Target>,
+    results: Results,
+}
+
+impl Simulation {
+    pub(crate) fn new(scenario: Scenario) -> Self {
+        let targets = (0..scenario.targets).map(|n| format!("t-{n}").parse().expect("a name"));
+        let entry = |_| Entry {
+            buckets: Buckets::default(),
+            blocked_until: vec![Time::ZERO; scenario.targets],
+            share_buckets: vec![(0.0, Time::ZERO); scenario.targets],
+        };
+        let mut simulation = Self {
+            rng: ChaCha8Rng::seed_from_u64(3),
+            now: Time::ZERO,
+            events: BinaryHeap::new(),
+            sequence: 0,
+            entries: (0..scenario.entries).map(entry).collect(),
+            names: (0..scenario.entries).map(|n| (n, format!("entry-{n}"))).collect(),
+            targets: targets.collect(),
+            results: Results { arrivals: vec![Vec::new(); scenario.targets], ..Results::default() },
+            scenario,
+        };
+        for nth in 0..scenario.entries {
+            // All entries were alive before; now only those of the same side are.
+            let reachable =
+                (0..scenario.entries).filter(|other| simulation.can_reach(nth, *other)).count();
+            let buckets = &mut simulation.entries[nth].buckets;
+            buckets.set_alive(Time::ZERO, scenario.entries);
+            buckets.set_alive(Time::ZERO, reachable);
+        }
+        simulation
+    }
+
+    pub(crate) fn run(mut self) -> Results {
+        let requests = (self.scenario.requests_per_second * COLD_PERIOD.as_secs_f64()) as usize;
+        for _ in 0..requests {
+            let at = Duration::from_secs_f64(self.rng.random_range(0.0..COLD_PERIOD.as_secs_f64()));
+            let entry = match self.scenario.traffic {
+                Traffic::AllEntries => self.rng.random_range(0..self.scenario.entries),
+                Traffic::OneEntry => 0,
+                Traffic::Rotating => at.as_secs() as usize * 7 % self.scenario.entries,
+            };
+            let requested_at = Time::ZERO + at;
+            self.schedule(at, Event::Request { entry, requested_at });
+        }
+        let mut second = 0;
+        while let Some(Reverse((now, _, event))) = self.events.pop() {
+            self.now = now;
+            if self.scenario.fault == Fault::Restarts && now.since(Time::ZERO).as_secs() > second {
+                second += 1;
+                self.entries.iter_mut().for_each(|entry| {
+                    entry.buckets = Buckets::default();
+                    entry.buckets.set_alive(now, self.scenario.entries);
+                });
+            }
+            match event {
+                Event::Request { entry, requested_at } => self.route(entry, requested_at),
+                Event::Decide { entry, target, requested_at, owner } => {
+                    self.decide(entry, target, requested_at, owner);
+                }
+                Event::Arrive { target } => self.results.arrivals[target].push(now),
+            }
+        }
+        self.results
+    }
+
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((self.now + after, self.sequence, event)));
+    }
+
+    fn can_reach(&self, one: usize, other: usize) -> bool {
+        match self.scenario.fault {
+            Fault::Partition => one % 2 == other % 2,
+            Fault::UnevenPartition => one.is_multiple_of(3) == other.is_multiple_of(3),
+            Fault::None | Fault::Restarts => true,
+        }
+    }
+
+    fn cold_limit(&self) -> Limit {
+        let Scenario { per_s, excess, margin, .. } = self.scenario;
+        Limit { per_s: RequestRate::new(per_s), excess, margin }
+    }
+
+    fn route(&mut self, entry: usize, requested_at: Time) {
+        let waited = self.now.since(requested_at);
+        self.results.max_wait = self.results.max_wait.max(waited);
+        let blocked_until = &self.entries[entry].blocked_until;
+        let available: Vec<usize> =
+            (0..self.scenario.targets).filter(|n| blocked_until[*n] <= self.now).collect();
+        if available.is_empty() || waited >= TIMEOUT {
+            self.results.sent_elsewhere += 1;
+            return;
+        }
+        let target = available[self.rng.random_range(0..available.len())];
+        match self.scenario.strategy {
+            Strategy::Owner => {
+                let reached: Vec<(usize, String)> =
+                    self.names.iter().filter(|(n, _)| self.can_reach(entry, *n)).cloned().collect();
+                let ranked = rendezvous::rank(self.targets[target].as_str(), &reached, |(_, n)| n);
+                let owner = ranked[0].0;
+                let delay = if owner == entry { Duration::ZERO } else { ONE_WAY_DELAY };
+                self.results.owner_requests += 1;
+                self.schedule(delay, Event::Decide { entry, target, requested_at, owner });
+            }
+            Strategy::StaticShares => {
+                let rate = self.scenario.per_s / self.scenario.entries as f64;
+                let (tokens, filled_at) = &mut self.entries[entry].share_buckets[target];
+                *tokens = (*tokens + rate * self.now.since(*filled_at).as_secs_f64()).min(1.0);
+                *filled_at = self.now;
+                if *tokens >= 1.0 {
+                    *tokens -= 1.0;
+                    self.send(target);
+                } else {
+                    self.block(
+                        entry,
+                        target,
+                        Duration::from_millis(50),
+                        requested_at,
+                        Duration::ZERO,
+                    );
+                }
+            }
+            Strategy::Ramp => {
+                let warm_fraction =
+                    self.now.since(Time::ZERO).as_secs_f64() / COLD_PERIOD.as_secs_f64();
+                match self.rng.random_bool(warm_fraction.min(1.0)) {
+                    true => self.send(target),
+                    false => self.results.sent_elsewhere += 1,
+                }
+            }
+        }
+    }
+
+    fn decide(&mut self, entry: usize, target: usize, requested_at: Time, owner: usize) {
+        let allowance = Allowance { advertised: None, cold: Some(self.cold_limit()) };
+        let (now, id) = (self.now, self.targets[target].clone());
+        let delay = if owner == entry { Duration::ZERO } else { ONE_WAY_DELAY };
+        match self.entries[owner].buckets.try_send(now, &id, &allowance) {
+            None => self.send(target),
+            Some(wait) => self.block(entry, target, wait, requested_at, delay),
+        }
+    }
+
+    fn block(
+        &mut self,
+        entry: usize,
+        target: usize,
+        wait: Duration,
+        requested_at: Time,
+        delay: Duration,
+    ) {
+        self.entries[entry].blocked_until[target] = self.now + wait;
+        self.schedule(delay, Event::Request { entry, requested_at });
+    }
+
+    fn send(&mut self, target: usize) {
+        let jitter = Duration::from_millis(self.rng.random_range(0..JITTER_MS));
+        self.schedule(ONE_WAY_DELAY * 2 + jitter, Event::Arrive { target });
+    }
+}
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/workspace_limit.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id::{Host, Workspace};
-use fireflyhoist_policy::limit::{Limit, Limits, Part};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::{TokenRate, Tokens};
+use fireflyhoist_policy::workspace_limit::{Limit, Limits, Part};
 use proptest::prelude::*;
 
 fn hosts(count: usize) -> Vec<Host> {
@@ -17,15 +17,15 @@
 }
 
 fn entry(own: &Host, published: &[Host], limit: Limit) -> Limits {
-    let mut limits = Limits::open();
+    let mut limits = Limits::new();
     limits.set(Time::ZERO, &workspace(), limit, Part::of(&workspace(), own, published));
     limits
 }
 
-/// One workspace opens streams through all eight entries at once. Without a division it would get
-/// its limit eight times, and the other members' pages would wait behind it all night.
+/// Guards against a workspace getting its limit once for each entry when it opens streams through
+/// all eight entries, so that the requests of others wait behind it.
 #[test]
-fn a_workspace_gets_its_streams_once_however_many_entries_it_uses() {
+fn stream_limit_holds_across_all_entries() {
     let published = hosts(8);
     let limit = Limit { streams: Some(10), rate: None };
     let mut open = 0;
@@ -36,19 +36,20 @@
     assert_eq!(open, 10);
 }
 
-/// A workspace keeps to the entry that it was told to use. With equal parts it would get an
-/// eighth of what the operators allow.
+/// Guards against equal parts, with which a workspace that uses only the entry to which it is
+/// directed would get an eighth of its limit.
 #[test]
-fn the_entry_that_a_workspace_is_told_to_use_has_half_of_its_limit() {
+fn first_ranked_entry_has_half_of_the_limit() {
     let published = hosts(8);
     let ranked = fireflyhoist_policy::rendezvous::rank("archive", &published, Host::as_str);
     assert_eq!(Part::of(&workspace(), ranked[0], &published).streams(10), 5);
 }
 
-/// One answer runs to tens of thousands of tokens. It is finished, and what it overdrew is
-/// earned back before the workspace's next one begins; the refusal says when that is.
+/// Guards against answers of tens of thousands of tokens that overdraw the limit without
+/// consequence. Such an answer is finished, but new streams are refused until the debt is refilled,
+/// and the refusal says when that is.
 #[test]
-fn tokens_overdrawn_are_earned_back_and_the_refusal_says_when() {
+fn refusal_lasts_until_overdrawn_tokens_are_refilled() {
     let published = hosts(1);
     let limit = Limit { streams: None, rate: Some(TokenRate::new(100.0)) };
     let mut limits = entry(&published[0], &published, limit);
@@ -59,10 +60,10 @@
     assert_eq!(limits.admit(Time::ZERO + wait, &workspace()), Ok(()));
 }
 
-/// A host drops out of the published list but has not heard of it and goes on using its part.
-/// The others grow by small steps, so that the workspace does not get both parts at once.
+/// Guards against a workspace getting two parts at once when a host has dropped out of the
+/// published list but does not know it yet and still uses its part.
 #[test]
-fn a_part_shrinks_at_once_and_grows_by_steps() {
+fn part_shrinks_at_once_and_grows_gradually() {
     let published = hosts(2);
     let limit = Limit { streams: Some(100), rate: None };
     let own = &published[0];
@@ -83,7 +84,8 @@
 }
 
 proptest! {
-    /// Whatever the list and the limit, the parts of all entries sum to the whole.
+    /// Guards against host lists or limits for which the parts of all entries do not sum to the
+    /// whole.
     #[test]
     fn parts_sum_to_one(count in 1usize..40, streams in 0u32..500, name in "[a-z]{1,8}") {
         let workspace: Workspace = name.parse().expect("a name");
