--- a/crates/policy/src/gate/carry.rs
+++ b/crates/policy/src/gate/carry.rs
@@ -1,8 +1,9 @@
-//! Where a running answer may go on when its target leaves, and what this entry holds where.
+//! Targets to which a running answer can be migrated when its target leaves, and what this entry
+//! holds at each target.
 //!
-//! **Load pattern** (`reclaim`): borrowed engines are taken back every few seconds, a second or
-//! two after a notice, with several answers on each. Without a place chosen ahead every answer
-//! there is cut, and its prompt and all that was generated is lost.
+//! Borrowed engines are reclaimed every few seconds, one or two seconds after a notice, each with
+//! several running answers. If no destination is chosen before the engine is gone, every answer
+//! there is cut off, and its prompt and all that was generated are lost.
 
 use std::collections::BTreeSet;
 
@@ -13,53 +14,55 @@
 use crate::time::Time;
 use crate::unit::Tokens;
 
-/// Load above which a target is no better for standing in the same failure domain: an answer of an
-/// ordinary length no longer fits.
+/// Load above which a target in the same failure domain is no longer preferred to targets
+/// elsewhere: an answer of ordinary length no longer fits.
 const FULL: f64 = 0.85;
 
-/// Load that counts as none when a place for a copy is drawn.
+/// Load added to every target's before destinations are drawn, so that an empty target is drawn
+/// first only a few times as often as a full one.
 ///
-/// The failure: a target that was just added is empty, so every copy of every entry goes there, and
-/// they share its one link: moves that take 0.2 s took 1.5 s and more, and their engine was gone
-/// before. Places are drawn at random instead, an empty one a few times as often as a full one.
+/// Without it a target that was just added, which is empty, is the first choice for every copy of
+/// every entry. The copies share its one link, and migrations that take 0.2 s take 1.5 s and more,
+/// by which time their source is gone.
 const SLACK: f64 = 0.25;
 
-/// Mean load of all targets up to which it pays to look for those that leave unannounced.
+/// Mean load of all targets below which it pays to look for targets that leave unannounced.
 ///
-/// While the registry is away no replacement can be seen either. Answers that are moved off an engine
-/// then push out others where engines are full, and new ones wait. With engines nine tenths full (a
-/// day of the two larger deployments, three seeds each) the worth was 0.492 and 0.392 without asking,
-/// 0.425 and 0.339 with, 0.466 and 0.372 up to 0.75, 0.483 and 0.387 up to 0.6; with engines a third
-/// to half full (the same of the smaller ones, six seeds) 0.642 and 0.451, 0.660 and 0.457, 0.658 and
+/// While the registry is unavailable, replacements of reclaimed engines cannot be seen either. On
+/// full engines, answers that are migrated displace others and new ones wait. With engines nine
+/// tenths full (one day of each of the two larger deployments, three seeds each) the mean value of
+/// a request to its caller was 0.492 and 0.392 without looking, 0.425 and 0.339 with it, 0.466 and
+/// 0.372 with a limit of 0.75, 0.483 and 0.387 with 0.6. With engines a third to half full (the
+/// same on the smaller deployments, six seeds) it was 0.642 and 0.451, 0.660 and 0.457, 0.658 and
 /// 0.460, 0.655 and 0.462.
 const SPARE: f64 = 0.6;
 
-/// How well a target suits an answer that leaves its own, the best first.
+/// Preference for a target as the destination of a migrating answer, the best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
-    /// In the same failure domain, with room for an ordinary answer more.
+    /// In the same failure domain, with room for one more ordinary answer.
     Near,
-    /// Elsewhere, or nearly full.
+    /// In another failure domain, or nearly full.
     Far,
     /// Without room for what the answer holds now.
     Full,
 }
 
-/// What one entry holds at one target.
+/// What the running answers of one entry hold at one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holding {
     /// The target.
     pub target: id::Target,
-    /// Tokens in its memory.
+    /// Tokens that they hold in its memory.
     pub tokens: Tokens,
-    /// Answers that it generates.
+    /// Answers that it generates for the entry.
     pub streams: u32,
-    /// Prompt tokens of answers that have not begun.
+    /// Prompt tokens of answers that have not produced their first token.
     pub unread: Tokens,
 }
 
 impl Gate {
-    /// What this entry's running answers hold, target by target.
+    /// Returns what the running answers of this entry hold at each target where it has any.
     pub fn holdings(&self) -> impl Iterator<Item = Holding> {
         let busy = self.slots.iter().filter(|slot| slot.room.streams() > 0);
         busy.map(|slot| Holding {
@@ -70,7 +73,7 @@
         })
     }
 
-    /// Whether targets have room to take over what others that leave hold.
+    /// Whether the targets as a whole have room for the answers of targets that leave.
     pub fn has_refuge(&self) -> bool {
         let listed = self.slots.iter().filter(|slot| slot.is_open());
         let (count, load) =
@@ -78,20 +81,25 @@
         load < SPARE * count
     }
 
-    /// Targets to which a running answer's memory is best copied or moved, the best first.
+    /// Returns the targets to which the memory of a running answer is best copied or migrated, the
+    /// best first.
     ///
-    /// They are those with most room among the targets that are up and trusted, since what is
-    /// copied must fit there until the answer ends. Those in `near` go before others: a copy to
-    /// another failure domain takes twice as long, and the engine's link is what is short.
+    /// They are drawn at random in favour of those with the lowest load, among the targets that are
+    /// up and not ejected, since what is copied must fit there until the answer ends. Targets in
+    /// `near` precede others: a copy to another failure domain takes twice as long, and the
+    /// bandwidth of the engine's link is the bottleneck.
     ///
-    /// With a `reserve`, only targets are named where the answer fits until its end with that part
-    /// of their memory left to others, and none where the targets as a whole have no room to spare:
-    /// an engine that has just come is empty, and is wanted for answers. On two days of a deployment
-    /// eight tenths full such copies cost 0.02 and 0.055 of the worth; on days of crashes they bring
-    /// 0.035 to 0.05 where there is room, and nothing there. Without one, every target is: what the answer may grow to is
-    /// a guess, and an answer that is preempted there is late, where one that stays is lost. Those
-    /// where what it holds now does not fit come last: they refuse, and each refusal costs a part of
-    /// the notice.
+    /// `reserve` is the part of a target's memory that copies made ahead must leave free. With it,
+    /// only targets are returned where the answer fits until its end, and none if the targets as a
+    /// whole are too full: an engine that has just joined is empty, but needed for answers. On two
+    /// days of a deployment that is eight tenths full such copies lower the mean value of a request
+    /// by 0.02 and 0.055; on days with crashes they raise it by 0.035 to 0.05 where there is room
+    /// and do not raise it where there is none.
+    ///
+    /// Without `reserve`, every target that is up is returned: how long the answer becomes is only
+    /// predicted, and an answer that is preempted at its new target is late, while one that stays
+    /// is lost. Targets on which the answer's present memory does not fit come last: they refuse,
+    /// and each refusal uses up part of the notice period.
     pub fn refuges(
         &mut self,
         now: Time,
@@ -113,7 +121,8 @@
             }
             if let Some(reserve) = reserve {
                 let claim = slot.room.claim(now, class, 1.0, 1.0, reserve);
-                // An engine without answers takes any answer, but it may be full of copies.
+                // `fits` accepts any answer on an engine without answers, but that engine may be
+                // full of copies.
                 if slot.room.load() > 1.0 - reserve || !slot.room.fits(class, &claim, &curve) {
                     continue;
                 }
@@ -131,7 +140,7 @@
         fitting.into_iter().map(|(_, _, name)| name.clone()).collect()
     }
 
-    /// Notes that a running answer goes on at another target.
+    /// Records that a running answer was migrated to another target.
     pub fn transfer(&mut self, now: Time, request: id::Request, to: &id::Target) {
         let Some(&to) = self.index.get(to) else { return };
         let Some(running) = self.running.get_mut(&request) else { return };
@@ -144,17 +153,17 @@
             self.slots[from].begun(prompt);
             self.slots[to].begins(prompt);
         }
-        // The time on two engines says nothing of either.
+        // A sample that spans two engines says nothing about either.
         if let Some(running) = self.running.get_mut(&request) {
             running.judged = (running.produced, now);
         }
         self.slots[to].room.send(now, &curve);
     }
 
-    /// Forgets targets that are neither listed nor in use.
+    /// Removes targets that are neither listed nor in use.
     ///
-    /// The failure: borrowed targets come and go all day, each under a name of its own; without
-    /// this the gate grows and every placement looks at all that ever were.
+    /// Borrowed targets join and leave all day, each under a new name. Without this the gate would
+    /// grow, and every placement would scan all targets that ever existed.
     pub(super) fn forget_unused(&mut self) {
         let mut moved: Vec<Option<usize>> = Vec::with_capacity(self.slots.len());
         let mut kept = Vec::with_capacity(self.slots.len());
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -1,9 +1,10 @@
-//! The gate of one service: whom to send where, who waits, who is refused.
+//! Admission and routing for one service: whether a request is sent, queued or refused, and to
+//! which target it is sent.
 //!
-//! One gate serves one service in one process; the daemon keeps each under a lock of its own and
-//! carries out what it decides. Virtual-time benches drive the very same type. The gate only
-//! composes: each decision stands in a module of its own, which names the load pattern that it
-//! answers. `docs/DECISIONS.md` has the runs.
+//! One gate serves one service in one process. The daemon keeps each gate under a lock of its own
+//! and carries out its decisions; virtual-time benches drive the same type. The gate only composes
+//! mechanisms that have modules of their own: memory prediction, fair queueing, shares, placement,
+//! outlier ejection and retry budgets.
 
 mod carry;
 mod place;
@@ -35,28 +36,32 @@
 pub use carry::Holding;
 pub use settings::Settings;
 
-/// A prompt token costs an engine a twentieth of a generated one: prompts are computed in bulk.
+/// Work of one prompt token, where a generated token is 1: engines compute the tokens of a prompt
+/// in bulk.
 const PROMPT_WORK: f64 = 0.05;
 
-/// From sending to the first token; kept off a caller's patience when its wait is foretold.
+/// Time from sending a request to its first token, as assumed where waits and missed objectives are
+/// predicted.
 const START: Duration = Duration::from_millis(500);
 
-/// Foretold waits are stretched by this, since requests that come later may go first and one
-/// entry's drain swings: at 1.2 some 2 in 100 accepted requests of `overload` missed their
-/// deadlines, at 1.5 some 0.5.
+/// Factor on predicted waits: requests that arrive later may be served first, and the drain rate of
+/// one entry fluctuates. With 1.2, 2 in 100 accepted requests of the bench pattern `overload`
+/// missed their deadlines, with 1.5 0.5 in 100.
 const CAUTION: f64 = 1.5;
 
-/// A refused caller is told to come back no sooner and no later than this.
+/// Shortest and longest retry delay of a refusal, before it is spread.
 const RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 
-/// Tokens of which the mean time between them tells how fast their engine is. Each stream is one
-/// sample after another: one sample an answer takes a minute to judge an engine of twelve.
+/// Tokens of one stream that make one latency sample of its engine: the sample is the mean time
+/// between them. A stream yields one sample after another, since with one sample an answer it takes
+/// a minute to judge an engine that runs twelve streams.
 const JUDGED: u64 = 16;
 
-/// The part of a new prompt in the mean of prompts: some tens of them count.
+/// Weight of a new prompt in the moving average of prompt lengths, so that some tens of prompts
+/// count.
 const PROMPT_PART: f64 = 1.0 / 32.0;
 
-/// Tokens that the largest engine is taken to hold before any has reported.
+/// Capacity in tokens that is assumed for the largest engine until one has reported.
 const UNREPORTED: u64 = 100;
 
 #[derive(Debug)]
@@ -65,23 +70,23 @@
     ask: Ask,
     curve: Curve,
     mark: Mark,
-    /// Work counted to its workspace so far.
+    /// Work charged to its workspace so far.
     work: f64,
     produced: u64,
     sent: Time,
     first: Option<Time>,
     latest: Time,
-    /// Tokens, and when, at the latest sample of its engine's speed.
+    /// Tokens produced, and the time, at the latest latency sample of its engine.
     judged: (u64, Time),
-    /// Why its target was chosen.
+    /// State of its target when it was chosen.
     grounds: Grounds,
 }
 
-/// Decides for one service.
+/// Decides on the requests of one service; see the [module](self).
 #[derive(Debug)]
 pub struct Gate {
     settings: Settings,
-    /// Entries of the published list, and which of them this one is.
+    /// Length of the published list of entries, and the position of this entry in it.
     entries: (usize, Option<usize>),
     slots: Vec<Slot>,
     index: BTreeMap<id::Target, usize>,
@@ -90,19 +95,20 @@
     drain: Drain,
     book: Book,
     usage: Usage,
-    /// The sum of all running answers' curves.
+    /// Sum of the curves of all running answers.
     all: Curve,
-    /// The curve of the latest request sent, as a measure of an average new one.
+    /// Curve of the request sent last, which stands for an average new request.
     fresh: Curve,
     detector: Detector,
     retries: retry::Budget,
     weighed: Time,
-    /// Tokens that all entries hold at all targets, as of the latest look.
+    /// Tokens that all entries together hold at all targets, as of the latest call of
+    /// [`Gate::weigh`].
     held: f64,
     sends: u64,
-    /// Tokens that the largest engine seen holds; no answer outgrows it.
+    /// Capacity in tokens of the largest engine that has reported; no answer can be longer.
     largest: u64,
-    /// Tokens of the mean prompt.
+    /// Moving average of the prompt length in tokens; zero before the first prompt.
     ordinary: f64,
     order: Order,
     candidates: Vec<Candidate>,
@@ -116,7 +122,7 @@
 }
 
 impl Gate {
-    /// Opens a gate that knows no target yet.
+    /// Creates a gate without targets.
     pub fn open(settings: Settings) -> Self {
         let queue = Queue::open(settings.fair).with_spare_last(settings.late);
         let retries = retry::Budget::of(settings.retries);
@@ -145,22 +151,22 @@
         }
     }
 
-    /// Sets the weights of workspaces among the others; those not named weigh one.
+    /// Sets the fair-queueing weights of workspaces; those without a weight have weight 1.
     pub fn set_weights(&mut self, weights: BTreeMap<id::Workspace, f64>) {
         self.queue.set_weights(weights);
     }
 
-    /// Sets how many second attempts this entry may make.
+    /// Sets the budget of this entry for retries.
     pub fn set_retries(&mut self, terms: retry::Terms) {
         self.retries.set_terms(terms);
     }
 
-    /// Sets the time between tokens that live callers are promised.
+    /// Sets the objective for the time between tokens of live generations.
     pub fn set_between(&mut self, between: Duration) {
         self.settings.between = between;
     }
 
-    /// Decides on a new request, or on a further attempt of one that failed before its answer.
+    /// Decides on a new request, or on a retry of one that failed before its answer began.
     pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Ask) -> Verdict {
         self.weigh(now);
         self.drain.pass(now, !self.queue.is_empty());
@@ -195,24 +201,26 @@
         Verdict::Wait
     }
 
-    /// The same request, among the late ones where it can't begin on time any more.
+    /// Returns the request, moved to [`Class::Spare`] if it can no longer begin by its objective.
     fn classed(&self, now: Time, ask: Ask) -> Ask {
         let late = self.settings.late && ask.objective < now + START;
         let class = if late { Class::Spare } else { ask.class };
         Ask { class, ..ask }
     }
 
-    /// Whether a running request may be begun anew elsewhere; draws on the retry budget.
+    /// Takes a retry from the budget for a running request that is to restart at another target;
+    /// returns false if the budget is spent.
     pub fn try_repeat(&mut self) -> bool {
         self.retries.try_take()
     }
 
-    /// What decided where a running request was sent.
+    /// State of the target of a running request at the time when it was chosen.
     pub fn grounds(&self, request: id::Request) -> Option<Grounds> {
         self.running.get(&request).map(|running| running.grounds)
     }
 
-    /// Notes that a running request has produced `produced` tokens in all, the latest just now.
+    /// Records that a running request has produced `produced` tokens in all, the last of them at
+    /// `now`.
     pub fn progress(&mut self, now: Time, request: id::Request, produced: Tokens) {
         let produced = produced.get();
         let Some(running) = self.running.get_mut(&request) else { return };
@@ -247,7 +255,7 @@
         self.redraw(now, request);
     }
 
-    /// Replaces a running answer's curve by one that knows how far it has come.
+    /// Replaces the curve of a running answer by one for its present length.
     fn redraw(&mut self, now: Time, request: id::Request) {
         let Some(running) = self.running.get(&request) else { return };
         let new = self.curve(&running.ask, running.produced);
@@ -257,7 +265,7 @@
         self.all.remove(&old);
         self.all.add(&new);
         self.usage.add(&running.ask.workspace, f64::from(new.now() - old.now()));
-        // An answer longer than predicted weighs on its workspace as it grows.
+        // An answer that is longer than predicted is charged as it grows.
         let work = PROMPT_WORK * running.ask.prompt.get() as f64 + running.produced as f64;
         if work > running.work {
             self.queue.charge(&running.ask.workspace, work - running.work);
@@ -265,7 +273,8 @@
         }
     }
 
-    /// Notes that an attempt ended and frees what it held; a queued request is forgotten.
+    /// Records that an attempt ended and releases what it held. A request that is still queued is
+    /// removed from the queue.
     pub fn finish(&mut self, now: Time, request: id::Request, outcome: Outcome) {
         let Some(running) = self.running.remove(&request) else {
             self.drain.pass(now, !self.queue.is_empty());
@@ -301,7 +310,7 @@
         }
     }
 
-    /// Decides on queued requests whose turn or deadline has come.
+    /// Decides on queued requests that can be sent now or whose deadline has passed.
     pub fn poll(&mut self, now: Time, rng: &mut impl Rng) -> Vec<(id::Request, Verdict)> {
         if self.queue.is_empty() {
             return Vec::new();
@@ -334,7 +343,7 @@
         decided
     }
 
-    /// Sends the next request that fits somewhere.
+    /// Sends the next queued request that fits on some target.
     fn serve_next(&mut self, now: Time, rng: &mut impl Rng) -> Option<(id::Request, Verdict)> {
         for (class, workspace) in self.queue.turns() {
             let ask = self.queue.head(class, &workspace)?.ask.clone();
@@ -348,22 +357,23 @@
         None
     }
 
-    /// Takes in how a request of another entry ended at a target.
+    /// Applies the outcome of a request of another entry at a target.
     pub fn hear(&mut self, now: Time, target: &id::Target, from: Observer, outcome: Ending) {
         self.detector.hear(now, target, from, outcome);
     }
 
-    /// How requests ended at targets, as far as other entries should hear of it.
+    /// Takes the outcomes of this entry's requests that are to be announced to the other entries.
     pub fn take_endings(&mut self) -> Vec<(id::Target, Ending)> {
         self.detector.take_news()
     }
 
-    /// Why a target gets no new work now; `None` where it does.
+    /// Why a target is ejected and until when; `None` if it is not ejected.
     pub fn ejection(&self, now: Time, target: &id::Target) -> Option<Ejection> {
         self.detector.ejection(now, target)
     }
 
-    /// When [`Gate::poll`] has something to do next, if nothing else happens.
+    /// The earliest time at which [`Gate::poll`] has something to decide, if no other call comes
+    /// before.
     pub fn next_poll(&self) -> Option<Time> {
         self.queue.next_deadline()
     }
@@ -384,7 +394,8 @@
         }
     }
 
-    /// Says no at once where the answer would not begin in time.
+    /// Refuses a request whose answer is predicted to begin after its deadline, or for which the
+    /// queue has no space.
     fn refusal(&mut self, now: Time, rng: &mut impl Rng, ask: &Ask, work: f64) -> Option<Verdict> {
         let ahead = self.queue.ahead(ask.class, &ask.workspace, work);
         let own = self.queue.own_wait(now, ask.class, &ask.workspace, work);
@@ -451,8 +462,8 @@
     ask.class == Class::Lookup || ask.limit == Tokens::default()
 }
 
-/// A refusal with a time to come back that is spread, so that those refused together don't return
-/// together.
+/// Returns a refusal. Its retry delay is spread at random by up to half, so that requests that are
+/// refused together do not return together.
 fn refuse(rng: &mut impl Rng, reason: Reason, after: Duration) -> Verdict {
     let spread = rng.random_range(1.0..1.5);
     let retry_after = after.clamp(RETRY.0, RETRY.1).mul_f64(spread);
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -1,4 +1,4 @@
-//! Which targets of a gate may take a request, and how much of them a heavy workspace leaves.
+//! Candidate targets for a request, and the reserve that a heavy workspace must leave free on them.
 
 use std::time::Duration;
 
@@ -13,30 +13,32 @@
 use crate::slot::Slot;
 use crate::time::Time;
 
-/// Part of every engine that a heavy workspace leaves to the others. An entry's share of it must
-/// hold one ordinary answer, or the reserve is free and yet nobody may take it.
+/// Part of every engine's memory that a heavy workspace leaves to the others. The share of one
+/// entry in it must hold one ordinary answer, or the reserve stays free and no entry may use it.
 const RESERVE: f64 = 0.36;
 
-/// How many times an entry's equal part of all that is held a workspace must hold there to be
-/// heavy. Without it two ordinary workspaces that share an entry take turns at being heavy.
+/// A workspace is heavy if it holds more than so many times this entry's equal part of all tokens
+/// held. Without this factor, two ordinary workspaces that share an entry would alternate in being
+/// heavy.
 const FLOOR: f64 = 1.3;
 
-/// The same, where the whole reserve is left.
+/// The multiple of the equal part above which a workspace must leave the whole reserve free.
 const FULL: f64 = 1.6;
 
-/// Streams that one entry may have at a live engine before their first token: each prompt holds
-/// back every stream of the engine while it is computed.
+/// Streams without a first token that one entry may have at a target when it sends a live
+/// generation there: while a prompt is computed, all streams of the engine stall.
 const UNSTARTED: u32 = 1;
 
-/// Prompts below so many tokens are computed in about 3 ms, less than one step of an engine, so
-/// they go where the load is least and not where they were met before.
+/// Shortest prompt, in tokens, that is placed by prefix affinity. A shorter one is computed in
+/// about 3 ms, less than one step of an engine, so it goes by load alone.
 const AFFINE: u64 = 64;
 
-/// How often targets' weights are read from the detector.
+/// Interval at which target weights are read from the outlier detector.
 const WEIGHTS: Duration = Duration::from_millis(200);
 
 impl Gate {
-    /// Reads anew how far each target is trusted.
+    /// Refreshes the weights of targets, and the tokens held at all of them, if the last refresh is
+    /// older than [`WEIGHTS`].
     pub(super) fn weigh(&mut self, now: Time) {
         if now.since(self.weighed) < WEIGHTS {
             return;
@@ -55,7 +57,8 @@
         }
     }
 
-    /// How far a workspace stands above this entry's equal part of all that is held, from 0 to 1.
+    /// Returns how far a workspace is above this entry's equal part of all tokens held, from 0 (not
+    /// heavy) to 1 (the whole reserve applies).
     fn weight_above(&self, workspace: &id::Workspace) -> f64 {
         let part = self.held / self.entries.0.max(1) as f64;
         if !self.usage.is_heavy(workspace, FLOOR * part) {
@@ -65,7 +68,7 @@
         ((parts - FLOOR) / (FULL - FLOOR)).clamp(0.0, 1.0)
     }
 
-    /// A lookup goes out at once, whatever the generations do.
+    /// Chooses a target for a lookup, which never waits for the memory of an engine.
     pub(super) fn place_lookup(
         &mut self,
         now: Time,
@@ -78,8 +81,8 @@
             up.then(|| slot.load(sends))
         });
         if self.candidates.is_empty() {
-            // Better a target in doubt than no answer, and one that failed some other request than
-            // the one that has just failed this.
+            // A suspect target is better than none, and one that failed another request is better
+            // than the one that has just failed this request.
             self.collect(|slot| {
                 let other = Some(&slot.name) != ask.avoid.as_ref();
                 (slot.firm_exclusion(now).is_none() && other).then_some(0.0)
@@ -93,7 +96,7 @@
         chosen.map(|at| self.fitting[at])
     }
 
-    /// The target for a generation, where one has room.
+    /// Chooses a target for a generation; `None` if it fits on none now.
     pub(super) fn place(
         &mut self,
         now: Time,
@@ -135,7 +138,7 @@
         chosen.map(|at| self.fitting[at])
     }
 
-    /// Lists the targets that `load` takes, each with its load.
+    /// Collects the targets for which `load` returns a value, as candidates with that load.
     fn collect(&mut self, load: impl Fn(&Slot) -> Option<f64>) {
         self.candidates.clear();
         self.fitting.clear();
--- a/crates/policy/src/gate/settings.rs
+++ b/crates/policy/src/gate/settings.rs
@@ -1,44 +1,49 @@
-//! The switches of a gate's mechanisms.
+//! Switches for the mechanisms of a gate.
 
 use std::time::Duration;
 
 use crate::placement;
 use crate::retry;
 
-/// Which mechanisms decide; benches and tests switch one off to show what it is there for.
+/// Selects the mechanisms of a gate. Benches and tests turn one off to show its effect.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The time between tokens that live callers are promised.
+    /// Objective for the time between tokens of live generations.
     pub between: Duration,
-    /// Predict memory instead of sending whatever is asked.
+    /// Send a generation only to targets where its memory is predicted to fit.
     pub room: bool,
-    /// Predict lengths instead of reserving the limit.
+    /// Predict the lengths of answers instead of reserving their limits.
     pub length: bool,
-    /// Divide free room among the entries.
+    /// Divide the free memory of each target among the entries.
     pub share: bool,
-    /// Serve workspaces in fair turns.
+    /// Queue workspaces fairly instead of in order of deadline.
     pub fair: bool,
-    /// Keep a slice of memory from heavy workspaces.
+    /// Keep part of each target's memory free of heavy workspaces.
     pub reserve: bool,
-    /// Refuse on arrival what would miss its deadline.
+    /// Refuse requests on arrival that are predicted to miss their deadline.
     pub refuse: bool,
-    /// Bound streams and unstarted prompts of live engines.
+    /// Bound the streams and unstarted prompts of targets for live generations.
     pub pace: bool,
-    /// Send prompts to where their beginning is cached.
+    /// Prefer targets that have the beginning of a prompt in their prefix cache.
     pub affinity: bool,
-    /// How many targets are drawn for a request without a prefix, of which the best gets it.
+    /// How many random targets are compared for a request that has no prefix, or whose prefix has
+    /// no home with room.
     pub choices: usize,
-    /// Leave targets that have just come to the entries whose turn it is; see [`crate::newcomer`].
+    /// Let entries begin to send to a target that has just joined one after another; see
+    /// [`crate::newcomer`].
     pub newcomers: bool,
-    /// Bound what waits to be read at a target, for entries that tell each other at once.
+    /// Bound the prompt tokens that wait for prefill at a target. Useful only if entries announce
+    /// to each other what they send.
     pub ahead: bool,
-    /// Keep room from requests that are late, and send these away; see [`crate::late`].
+    /// Let requests that are past their objective use only spare capacity, and shed those that find
+    /// none; see [`crate::late`].
     pub late: bool,
-    /// Leave out slow and failing targets.
+    /// Eject slow and failing targets.
     pub outlier: bool,
-    /// Charge second attempts of overnight answers as well, where operators bound them all.
+    /// Charge retries of overnight generations to the retry budget as well, for operators who bound
+    /// all retries.
     pub charge_all: bool,
-    /// How many second attempts this entry may make.
+    /// Budget of this entry for retries.
     pub retries: retry::Terms,
 }
 
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -1,4 +1,4 @@
-//! Which targets a gate knows, and why each may be excluded.
+//! The targets of a gate: their list, reports, cordons and reasons for exclusion.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,12 +16,13 @@
 use crate::time::Time;
 use crate::unit::Tokens;
 
-/// When to come back where every target stands in a failure domain that is cordoned: operators lift cordons after
-/// minutes, so whoever may ask only once more had better wait.
+/// Retry delay if all targets stand in cordoned failure domains. Operators lift cordons after
+/// minutes, so a caller that can retry only once should wait longer than after other refusals.
 const CORDONED_RETRY: Duration = Duration::from_secs(10);
 
 impl Gate {
-    /// Tells how many entries the published list names, and which of them this one is.
+    /// Sets the length of the published list of entries, and the position of this entry in it, if
+    /// it is listed.
     pub fn set_entries(&mut self, now: Time, entries: usize, own: Option<usize>) {
         let entries = if self.settings.share { entries } else { 1 };
         if (entries, own) != self.entries {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Works out this entry's share of each target anew.
+    /// Recomputes this entry's share of each listed target.
     fn divide(&mut self, now: Time) {
         let (entries, own) = self.entries;
         let listed = self.index.values().filter(|at| self.slots[**at].listed);
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Replaces the targets; requests already sent to a removed one go on until they finish.
+    /// Replaces the list of targets. Requests that were sent to a removed target continue until
+    /// they finish.
     pub fn set_targets(&mut self, now: Time, targets: Vec<id::Target>) {
         self.slots.iter_mut().for_each(|slot| slot.listed = false);
         self.detector.set_targets(&targets);
@@ -57,7 +59,8 @@
         self.divide(now);
     }
 
-    /// Tells which entries send to the targets, so that each has its turn at one that has just come.
+    /// Sets the entries that send to the targets, and with them when this entry may begin to send
+    /// to a target that has just joined.
     pub fn set_order(&mut self, order: Order) {
         self.order = order;
         for slot in &mut self.slots {
@@ -65,14 +68,14 @@
         }
     }
 
-    /// Notes that a target has started again: it is as empty as one that has just come.
+    /// Records that a target has restarted: it is as empty as one that has just joined.
     pub fn restarted(&mut self, now: Time, target: &id::Target) {
         if let Some(at) = self.index.get(target) {
             self.slots[*at].arrival = Arrival::at(now, &self.order, target);
         }
     }
 
-    /// Takes in a target's load report, which was taken `age` ago.
+    /// Applies a load report of a target that was taken `age` ago.
     pub fn report(&mut self, now: Time, target: &id::Target, report: &Report, age: Duration) {
         let Some(at) = self.index.get(target) else { return };
         let growth = Growth { own: self.all, fresh: self.fresh };
@@ -80,14 +83,14 @@
         self.largest = self.largest.max(report.capacity.get());
     }
 
-    /// Takes in how many prompt tokens of other entries wait to be read at a target.
+    /// Sets the prompt tokens of other entries that wait for prefill at a target.
     pub fn set_unread(&mut self, target: &id::Target, tokens: Tokens) {
         if let Some(at) = self.index.get(target) {
             self.slots[*at].others_unread = tokens.get();
         }
     }
 
-    /// Refuses where no target is listed, or all stand in failure domains that are cordoned.
+    /// Returns a refusal if no target is listed or all stand in cordoned failure domains.
     pub(super) fn without_targets(&self, rng: &mut impl Rng) -> Option<Verdict> {
         let mut listed = self.slots.iter().filter(|slot| slot.listed).peekable();
         if listed.peek().is_none() {
@@ -97,7 +100,8 @@
         all.then(|| refuse(rng, Reason::Cordoned, CORDONED_RETRY))
     }
 
-    /// Refuses where no target is up, or none takes more.
+    /// Returns a refusal for a lookup that no target can take: all are down, or suspended because
+    /// of a limit.
     pub(super) fn nowhere(&self, now: Time, rng: &mut impl Rng) -> Verdict {
         let listed = self.slots.iter().filter(|slot| slot.is_open());
         let closed = listed.map(|slot| slot.closed(now)).filter(|left| !left.is_zero()).min();
@@ -107,17 +111,18 @@
         }
     }
 
-    /// Sends nothing more to a target for some time: it takes no more from all entries together.
+    /// Suspends a target for `wait`, because it accepts no more requests from all entries together.
     pub fn close(&mut self, now: Time, target: &id::Target, wait: Duration, why: Exclusion) {
         if let Some(at) = self.index.get(target) {
             self.slots[*at].close(now + wait, why);
         }
     }
 
-    /// Sends nothing new to these targets, whose failure domains are cordoned, and to all others again.
+    /// Sets the targets in cordoned failure domains. They receive nothing new; all others may
+    /// receive requests again.
     ///
-    /// Entries take turns at those that come back, as at targets that have just come: they look empty to
-    /// all.
+    /// Entries begin one after another to send to targets whose cordon is lifted, as to targets
+    /// that have just joined, since these look empty to all entries.
     pub fn set_cordoned(&mut self, now: Time, cordoned: &BTreeSet<id::Target>) {
         for slot in &mut self.slots {
             let before = std::mem::replace(&mut slot.cordoned, cordoned.contains(&slot.name));
@@ -127,7 +132,7 @@
         }
     }
 
-    /// How many targets are excluded for which reason.
+    /// Counts the targets that are excluded for each reason.
     pub fn exclusions(&self, now: Time) -> BTreeMap<Exclusion, usize> {
         let mut counts = BTreeMap::new();
         for why in self.slots.iter().filter_map(|slot| slot.exclusion(now)) {
