--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,14 +1,14 @@
-//! Who waits at the entry, and in which order they go.
+//! The queue of requests that wait at one gate, and the order in which they are served.
 //!
-//! Load pattern: a hot caller, long jobs among short ones, overload. Without a queue of the
-//! entry's own, everything waits inside the engines in order of arrival: one workspace's thousand
-//! pages stand before everyone else's one, and a caller learns only at its deadline that it would
-//! not be served.
+//! If requests waited inside the engines instead, in order of arrival, a workspace with a thousand
+//! pages or long jobs would delay the single request of every other workspace, and under overload a
+//! caller would learn only at its deadline that it is not served.
 //!
-//! Classes go in order, and every eighth turn belongs to the lowest that waits, so that none
-//! starves. Within a class, workspaces are served by start-time fair queueing: each turn goes to
-//! the one that has received the least work for its weight, and work is counted in tokens, first
-//! as predicted and then as produced, so that one long answer weighs as much as many short ones.
+//! Classes are served in order of priority, except that every eighth turn goes to the lowest class
+//! that waits, so that none starves. Within a class, workspaces are served by start-time fair
+//! queueing: each turn goes to the workspace that has received the least work for its weight. Work
+//! is counted in tokens, first as predicted and then as produced, so that one long answer counts as
+//! much as many short ones.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -18,34 +18,34 @@
 use crate::id;
 use crate::time::Time;
 
-/// The most requests that wait at one gate; a request takes about 300 bytes.
+/// Capacity of the queue of one gate; a request takes about 300 bytes.
 pub const BOUND: usize = 16_384;
 
-/// One turn in so many goes to the lowest class that waits.
+/// One turn in this many goes to the lowest class that waits.
 const LOWEST_TURN: u32 = 8;
 
-/// Workspaces tried in one turn.
+/// Workspaces tried in one turn, at most.
 const CANDIDATES: usize = 4;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// What was asked.
+    /// The request.
     pub ask: Ask,
     /// Its predicted work in tokens.
     pub work: f64,
 }
 
-/// What is remembered of a workspace, waiting or not.
+/// Fair-queueing state of a workspace; it outlives the workspace's queued requests.
 #[derive(Clone, Debug, Default)]
 struct Account {
-    /// Work received for its weight: the virtual time of fair queueing.
+    /// Work received, divided by the weight: its virtual time in fair queueing.
     received: f64,
-    /// How fast its own line drains.
+    /// Drain rate of its own queue.
     drain: Drain,
 }
 
-/// Where a request waits.
+/// Location of a queued request.
 #[derive(Clone, Debug)]
 struct Place {
     class: Class,
@@ -59,7 +59,7 @@
     work: f64,
 }
 
-/// The queue of one gate.
+/// The queue of one gate; see the [module](self).
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     classes: BTreeMap<Class, BTreeMap<id::Workspace, Flow>>,
@@ -69,22 +69,23 @@
     places: HashMap<id::Request, Place>,
     turns: u32,
     fair: bool,
-    /// Whether late requests have no turns of their own among the others.
+    /// Whether [`Class::Spare`] is left out of the turns of the lowest class.
     is_spare_last: bool,
 }
 
 impl Queue {
-    /// Opens an empty queue; without `fair` it goes by order of arrival alone.
+    /// Creates an empty queue. Without `fair`, the workspace whose first request has the earliest
+    /// deadline is served next.
     pub fn open(fair: bool) -> Self {
         Self { fair, ..Self::default() }
     }
 
-    /// Gives late requests no turns but those that nobody else wants; see [`crate::late`].
+    /// Serves [`Class::Spare`] only when no other class waits; see [`crate::late`].
     pub fn with_spare_last(self, is_spare_last: bool) -> Self {
         Self { is_spare_last, ..self }
     }
 
-    /// Sets the weights of workspaces; others weigh one.
+    /// Sets the weights of workspaces; those without a weight have weight 1.
     pub fn set_weights(&mut self, weights: BTreeMap<id::Workspace, f64>) {
         self.weights = weights;
     }
@@ -93,32 +94,33 @@
         self.weights.get(workspace).copied().unwrap_or(1.0).max(0.01)
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// Whether none of this class or a better one waits.
+    /// Whether no request of this class or a higher one is queued.
     pub fn is_clear(&self, class: Class) -> bool {
         self.classes.range(..=class).all(|(_, flows)| flows.is_empty())
     }
 
-    /// Whether this workspace has none waiting.
+    /// Whether no request of this workspace is queued in this class.
     pub fn is_first(&self, class: Class, workspace: &id::Workspace) -> bool {
         self.classes.get(&class).is_none_or(|flows| !flows.contains_key(workspace))
     }
 
-    /// Adds a request; a further attempt of an accepted one goes before its workspace's others.
+    /// Adds a request, with `front` before all others of its workspace (a retry of an accepted
+    /// request).
     pub fn push(&mut self, now: Time, item: Item, front: bool) {
         let workspace = item.ask.workspace.clone();
         let place = Place { class: item.ask.class, workspace: workspace.clone(), since: now };
         self.places.insert(item.ask.request, place);
-        // An idle workspace saves up no claim on the past.
+        // An idle workspace gains no credit for work that it did not ask for.
         let account = self.accounts.entry(workspace.clone()).or_default();
         let flows = self.classes.entry(item.ask.class).or_default();
         let waiting = flows.contains_key(&workspace);
@@ -131,7 +133,7 @@
         if front { flow.items.push_front(item) } else { flow.items.push_back(item) }
     }
 
-    /// Counts work done for a workspace, or takes back what was counted too much.
+    /// Charges work to a workspace, or refunds it where `work` is negative.
     pub fn charge(&mut self, workspace: &id::Workspace, work: f64) {
         let weight = self.weight(workspace);
         let floor = self.virtual_time;
@@ -140,8 +142,9 @@
         account.received = (account.received + work / weight).max(0.0);
     }
 
-    /// The workspaces whose turns are next, and their class; at most [`CANDIDATES`], so that one
-    /// whose request does not fit anywhere now does not keep room from another's that would.
+    /// The workspaces to serve next, in order, and their class; at most [`CANDIDATES`], so that a
+    /// workspace whose request fits on no target now does not block another whose request would
+    /// fit.
     pub fn turns(&self) -> Vec<(Class, id::Workspace)> {
         let lowest = self.turns % LOWEST_TURN == LOWEST_TURN - 1;
         let mut waiting = self.classes.iter().filter(|(_, flows)| !flows.is_empty());
@@ -178,12 +181,12 @@
         oldest(a).cmp(&oldest(b))
     }
 
-    /// The request at the head of a workspace's line.
+    /// The first request of a workspace's queue.
     pub fn head(&self, class: Class, workspace: &id::Workspace) -> Option<&Item> {
         self.classes.get(&class)?.get(workspace)?.items.front()
     }
 
-    /// Takes the head of a workspace's line for sending.
+    /// Removes the first request of a workspace's queue for sending.
     pub fn pop(&mut self, now: Time, class: Class, workspace: &id::Workspace) -> Option<Item> {
         let work = self.head(class, workspace)?.work;
         if let Some(account) = self.accounts.get_mut(workspace) {
@@ -209,14 +212,14 @@
         Some(item)
     }
 
-    /// Drops what is known of workspaces that have no more than the present virtual time.
+    /// Drops the account of a workspace that is not ahead of the virtual time, if there are many.
     fn forget(&mut self, workspace: &id::Workspace) {
         if self.received(workspace) <= self.virtual_time && self.accounts.len() > BOUND {
             self.accounts.remove(workspace);
         }
     }
 
-    /// Forgets a request whose caller went away.
+    /// Removes a request, for example because its caller left.
     pub fn remove(&mut self, request: id::Request) -> Option<Item> {
         let Place { class, workspace, .. } = self.places.get(&request)?.clone();
         let flow = self.classes.get(&class)?.get(&workspace)?;
@@ -224,13 +227,14 @@
         self.take(class, &workspace, at)
     }
 
-    /// Puts generations that can no longer begin on time behind all others.
+    /// Moves generations that can no longer begin by their objective to [`Class::Spare`], the
+    /// lowest class.
     ///
-    /// **Load pattern** (`overload`): more is asked than fits for some seconds. **Without this** the
-    /// line is served in order of arrival, so once it is longer than the objective every answer
-    /// begins late, those that could have begun on time as well. A late answer is worth a sixth of
-    /// one that is on time to the users, but not nothing: it waits for room, and every eighth turn
-    /// is the lowest class's.
+    /// Under overload that lasts for seconds the queue grows longer than the objective. If it were
+    /// served in order of arrival, every answer would begin late, including those that could have
+    /// begun on time. A late answer is worth a sixth of one that is on time to the users, so it
+    /// still waits for room, in the lowest class. That class gets every eighth turn, unless
+    /// [`Queue::with_spare_last`] leaves it out.
     pub fn demote(&mut self, now: Time, lead: Duration) {
         let mut late = Vec::new();
         for (class, flows) in &self.classes {
@@ -251,8 +255,9 @@
         }
     }
 
-    /// Takes out late requests that have waited long enough: `linger` beyond the moment at which
-    /// they became late. Those that were late when they came wait until their deadline.
+    /// Removes and returns requests of [`Class::Spare`] that became late more than `linger` ago,
+    /// where a request is late from `lead` before its objective. Those that were late on arrival
+    /// wait until their deadline.
     pub fn outstayed(&mut self, now: Time, lead: Duration, linger: Duration) -> Vec<Item> {
         let spare = self.classes.get(&Class::Spare).into_iter().flat_map(BTreeMap::values);
         let over = |item: &&Item| {
@@ -265,13 +270,13 @@
         over.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
-    /// Takes out all requests.
+    /// Removes and returns all requests.
     pub fn drain(&mut self) -> Vec<Item> {
         let all: Vec<id::Request> = self.places.keys().copied().collect();
         all.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
-    /// Takes out requests whose deadline has passed.
+    /// Removes and returns requests whose deadline has passed.
     pub fn expire(&mut self, now: Time) -> Vec<Item> {
         let mut expired = Vec::new();
         while let Some((class, workspace)) = self.overdue(now) {
@@ -292,13 +297,13 @@
         })
     }
 
-    /// The earliest deadline among the heads.
+    /// The earliest deadline among the first requests of all workspaces.
     pub fn next_deadline(&self) -> Option<Time> {
         self.heads().map(|(_, _, item)| item.ask.deadline).min()
     }
 
-    /// Work that would leave before a further request of this workspace with this much work:
-    /// every better class, and of its own class what fair turns serve first.
+    /// Work that is served before a further request of this workspace with this much work: all of
+    /// higher classes, and of its own class what fair queueing serves first.
     pub fn ahead(&self, class: Class, workspace: &id::Workspace, work: f64) -> f64 {
         let better: f64 =
             self.classes.range(..class).flat_map(|(_, flows)| flows.values()).map(|f| f.work).sum();
@@ -314,12 +319,13 @@
             turns.min(flow.work)
         });
         let backlog = own + others.sum::<f64>();
-        // Others who go on asking take their part of every turn, too.
+        // Workspaces that keep sending requests also take their part of later turns.
         better + backlog.max((own + work) / self.part(class, workspace) - work)
     }
 
-    /// How long a workspace's own line takes at the rate at which it has been draining; it may be
-    /// slower than its turns, where what it asks for fits into less room than what others do.
+    /// How long the queue of one workspace takes to drain at its recent rate; `None` while that is
+    /// unknown. It can be slower than fair turns suggest, if its requests fit on fewer targets than
+    /// those of others.
     pub fn own_wait(
         &mut self,
         now: Time,
@@ -333,7 +339,8 @@
         account.drain.wait(flow.work + work)
     }
 
-    /// The part of waiting workspaces' weight that this one's weight makes, itself included.
+    /// The share of this workspace in the weights of all workspaces that wait in a class, itself
+    /// included.
     pub fn part(&self, class: Class, workspace: &id::Workspace) -> f64 {
         let own = self.weight(workspace);
         let others = self.classes.get(&class).into_iter().flat_map(|flows| flows.keys());
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -1,12 +1,13 @@
-//! Whether one more answer will fit into an engine's memory until it ends.
+//! Prediction of an engine's memory: whether one more answer fits into it until that answer ends.
 //!
-//! Load pattern: memory that fills in the middle of generations (`brno-night`, `lag`). Without
-//! this an engine takes whatever fits now, and later preempts and computes again what it began:
-//! 38,680 preemptions in half an hour of `brno-night` under a plain rotation.
+//! Memory runs full in the middle of generations. An engine that takes whatever fits now later
+//! preempts answers that it began, and computes them again: 38,680 preemptions in half an hour of
+//! the bench pattern `brno-night` under round robin.
 //!
-//! The view joins a report that is seconds old with what this entry alone knows up to date: its
-//! own running answers and how far each has come. What others hold is the report less what this
-//! entry held when it was taken, and is expected to grow as this entry's own answers do.
+//! The prediction combines a report that is seconds old with the state that this entry alone knows
+//! exactly: its own running answers and the length that each has reached. What other entries hold
+//! is the report less what this entry held when the report was taken, and is expected to grow as
+//! this entry's own answers do.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,40 +17,45 @@
 use crate::share::Claim;
 use crate::time::Time;
 
-/// Memory left free for what the prediction misses.
+/// Part of the memory that stays free for prediction errors.
 const MARGIN: f64 = 0.03;
 
-/// Standard deviations above the mean that must fit for answers that nobody watches. More gives up
-/// throughput for preemptions: `brno-night` (seed 3) had 236 of them at 2.0, 44 at 2.5, 1 at 3.0
-/// and none at 3.5, with 0.970, 0.957, 0.942 and 0.883 of the engines' best.
+/// Standard deviations above the mean that must fit for answers that nobody watches. A higher value
+/// avoids preemptions at the cost of throughput: the bench pattern `brno-night` (seed 3) had 236
+/// preemptions at 2.0, 44 at 2.5, 1 at 3.0 and none at 3.5, with a throughput of 0.970, 0.957,
+/// 0.942 and 0.883 of the engines' maximum.
 const SIGMAS: f32 = 3.0;
 
-/// The same for live answers, whose callers would rather begin sooner: `oslo-day`, `lag` and
-/// `overload` have hardly a preemption at either figure, and `hot-caller` waits longer at 3.0.
+/// Standard deviations above the mean that must fit for live answers, whose callers prefer an early
+/// start: the bench patterns `oslo-day`, `lag` and `overload` have hardly a preemption at either
+/// value, and `hot-caller` waits longer at 3.0.
 const SIGMAS_LIVE: f32 = 1.5;
 
-/// Standard deviations that must fit for a class.
+/// Returns the standard deviations above the mean that must fit for a class.
 fn sigmas(class: Class) -> f32 {
     if class >= Class::Overnight { SIGMAS } else { SIGMAS_LIVE }
 }
 
-/// The most that preemptions may raise the margin to.
+/// Upper bound of the margin, which preemptions raise.
 const MARGIN_MOST: f64 = 0.25;
 
-/// How much each preemption that a report shows raises the margin: a handful in one report, which
-/// is what one misjudged moment costs, is worth some percent.
+/// Increase of the margin for each preemption that a report shows. One misjudged moment causes a
+/// handful of preemptions in one report, which raise the margin by some percent.
 const MARGIN_STEP: f64 = 0.004;
 
-/// How much of the raised margin is given back in a second; back to normal within half a minute.
+/// Part of the increase that is taken back in a second. Each report restarts this from the present
+/// margin, so that it is back to normal within half a minute.
 const MARGIN_DECAY: f64 = 0.1;
 
-/// Streams sent to an engine that has not reported yet.
+/// Streams that may be sent to an engine that has not reported yet.
 const UNREPORTED: u32 = 4;
 
-/// How far back own holdings are remembered; reports older than this are not believed.
+/// How long the history of this entry's own state is kept. Own holdings at the time of an older
+/// report are taken as zero.
 pub const OLDEST: Duration = Duration::from_secs(15);
 
-/// Steps in which the growth of own holdings is remembered; begins and ends are exact.
+/// Resolution at which growth is recorded in the history; starts and ends of answers are recorded
+/// exactly.
 const STEP: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug)]
@@ -59,7 +65,7 @@
     streams: u32,
 }
 
-/// Tokens since the time of the latest report.
+/// Tokens added since the time of the latest report.
 #[derive(Clone, Debug, Default)]
 struct Since {
     list: VecDeque<(Time, f32)>,
@@ -83,7 +89,7 @@
     }
 }
 
-/// One engine's memory as this entry sees it.
+/// The memory of one engine, as far as this entry knows it.
 #[derive(Clone, Debug)]
 pub struct Room {
     capacity: f64,
@@ -119,17 +125,17 @@
     }
 }
 
-/// How the answers that others run are expected to grow.
+/// How the answers of other entries are expected to grow.
 #[derive(Clone, Copy, Debug)]
 pub struct Growth {
-    /// The curve of all of this entry's own answers.
+    /// Sum of the curves of this entry's own answers, at all targets.
     pub own: Curve,
-    /// The curve of an average new answer.
+    /// Curve of an average new answer.
     pub fresh: Curve,
 }
 
 impl Room {
-    /// Takes in a report that was taken at `taken`.
+    /// Applies a report that was taken at `taken`; one that is older than the latest is ignored.
     pub fn report(&mut self, now: Time, taken: Time, report: &Report, growth: &Growth) {
         if taken < self.taken {
             return;
@@ -178,7 +184,7 @@
         }
     }
 
-    /// Counts an answer sent just now.
+    /// Adds an answer that is sent at `now`.
     pub fn send(&mut self, now: Time, curve: &Curve) {
         self.mine.add(curve);
         self.streams += 1;
@@ -186,14 +192,14 @@
         self.remember(now);
     }
 
-    /// Replaces an answer's curve after it has come further.
+    /// Replaces the curve of an answer after it has produced more tokens.
     pub fn update(&mut self, now: Time, old: &Curve, new: &Curve) {
         self.mine.remove(old);
         self.mine.add(new);
         self.remember(now);
     }
 
-    /// Frees what an answer held.
+    /// Removes an answer that has ended or was migrated.
     pub fn free(&mut self, now: Time, curve: &Curve) {
         self.mine.remove(curve);
         self.streams = self.streams.saturating_sub(1);
@@ -204,7 +210,8 @@
         self.remember(now);
     }
 
-    /// What this entry may still claim, with `reserve` of the capacity left to others.
+    /// Returns what this entry may still send, with the part `reserve` of the capacity left free.
+    /// `share` and `kept` are those of [`Claim`].
     pub fn claim(&self, now: Time, class: Class, share: f64, kept: f64, reserve: f64) -> Claim {
         let sigmas = sigmas(class);
         let limit = self.capacity * (1.0 - self.margin(now) - reserve);
@@ -213,15 +220,15 @@
         Claim { free: limit - f64::from(peak), sent, freed, share, kept }
     }
 
-    /// Whether an answer with this curve fits into what this entry may claim.
+    /// Whether an answer with this curve fits into the allowance of `claim`.
     pub fn fits(&self, class: Class, claim: &Claim, curve: &Curve) -> bool {
         let sigmas = sigmas(class);
         if self.capacity == 0.0 {
             return self.streams < UNREPORTED;
         }
-        // An idle engine takes any answer: one whose prediction passes the whole memory would
-        // otherwise wait for ever, and everything of its workspace behind it. One that keeps memory
-        // for copies is not idle, though it runs nothing yet.
+        // An idle engine takes any answer: one that is predicted to exceed the whole memory would
+        // otherwise wait forever and block its workspace. An engine that holds memory for copies is
+        // not idle, although it runs nothing yet.
         if self.all_streams() == 0 && self.others.now() <= 0.0 {
             return true;
         }
@@ -240,13 +247,15 @@
         self.streams + self.others_streams
     }
 
-    /// The memory expected to be held, as a share of the whole.
+    /// Memory in use, as a part of the capacity; before the first report the number of streams of
+    /// this entry.
     pub fn load(&self) -> f64 {
         let held = f64::from(self.mine.now() + self.others.now());
         if self.capacity > 0.0 { held / self.capacity } else { f64::from(self.streams) }
     }
 
-    /// The same with one more answer; infinite where the memory's size is not known.
+    /// Memory in use with one more answer, as a part of the capacity; infinite before the first
+    /// report.
     pub fn load_with(&self, curve: &Curve) -> f64 {
         let held = f64::from(self.mine.now() + self.others.now() + curve.now());
         if self.capacity > 0.0 { held / self.capacity } else { f64::INFINITY }
@@ -257,12 +266,12 @@
         self.taken
     }
 
-    /// This entry's curve.
+    /// Sum of the curves of this entry's answers here.
     pub fn mine(&self) -> &Curve {
         &self.mine
     }
 
-    /// Tokens of this entry and of all, as far as it knows.
+    /// Tokens held by this entry and by all entries, as far as this one knows.
     pub fn holdings(&self) -> (f64, f64) {
         let own = f64::from(self.mine.now());
         (own, own + f64::from(self.others.now()))
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -1,19 +1,19 @@
-//! Who holds engine memory now, and who holds far more than an equal part.
+//! Engine memory held by each workspace, and whether a workspace holds far more than an equal part.
 //!
-//! Load pattern: long jobs among short ones, a hot caller. Fair turns alone come too late there:
-//! a workspace that was alone for a minute holds all memory with answers that run for minutes, and
-//! the first short one of another must wait for one of them to end. So a workspace that holds more
-//! than its part leaves a slice of every engine free for the rest.
+//! Fair turns alone come too late if a workspace that was alone for a minute holds all memory with
+//! answers that run for minutes: the first short answer of another workspace must wait for one of
+//! them to end. So a workspace that holds more than its part leaves part of every engine free for
+//! the others.
 
 use std::collections::BTreeMap;
 
 use crate::id;
 
-/// A workspace is heavy above so many times an equal part. Ordinary unevenness (a busy hour, one
-/// long answer) stays below; the large ones of either user are above at their busiest.
+/// A workspace is heavy above this multiple of an equal part. Normal variation (a busy hour, one
+/// long answer) stays below it; the large workspaces of either user are above it at their busiest.
 const HEAVY: f64 = 1.5;
 
-/// Tokens that each workspace holds at this entry.
+/// Tokens that each workspace holds through this entry.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
     held: BTreeMap<id::Workspace, f64>,
@@ -21,7 +21,7 @@
 }
 
 impl Usage {
-    /// Adds what a workspace holds more, or takes away where negative.
+    /// Adds tokens to what a workspace holds, or subtracts them where negative.
     pub fn add(&mut self, workspace: &id::Workspace, tokens: f64) {
         self.total = (self.total + tokens).max(0.0);
         let held = self.held.entry(workspace.clone()).or_default();
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Tokens that a workspace holds.
+    /// Returns the tokens that a workspace holds.
     pub fn held(&self, workspace: &id::Workspace) -> f64 {
         self.held.get(workspace).copied().unwrap_or_default()
     }
 
     /// Whether a workspace holds far more than an equal part, and more than `part` tokens, while
-    /// others hold some, too.
+    /// others hold some as well.
     pub fn is_heavy(&self, workspace: &id::Workspace, part: f64) -> bool {
         let held = self.held(workspace);
         held > part && self.held.len() > 1 && held * self.held.len() as f64 > HEAVY * self.total
