--- a/crates/policy/src/curve.rs
+++ b/crates/policy/src/curve.rs
@@ -1,18 +1,18 @@
-//! Memory that running answers are expected to hold in the near future.
+//! Predicted memory of running answers.
 
 use crate::length::Law;
 
-/// How far ahead the curve looks, in tokens that each running answer produces meanwhile. The last
-/// steps are wide, since only the highest point counts and it comes early.
+/// Points of a curve, in tokens that each running answer produces until then. The last steps are
+/// wide, since only the highest point matters and it comes early.
 pub const AHEAD: [u64; STEPS] = [0, 32, 64, 128, 256, 512, 1_024, 2_048, 4_096, 8_192];
 
 const STEPS: usize = 10;
 
-/// Tokens held at each step of [`AHEAD`]: the mean, and the variance about it.
+/// Tokens held at each step of [`AHEAD`]: the mean and the variance.
 ///
-/// Answers end independently, so both add up. Some twenty answers of thousands of tokens in one
-/// engine miss their mean by a tenth of its memory, a hundred short ones by a hundredth; the
-/// variance tells the two apart where a fixed margin cannot.
+/// Answers end independently, so means and variances add up. Some twenty answers of thousands of
+/// tokens in one engine deviate from their mean by a tenth of its memory, a hundred short ones by a
+/// hundredth; the variance distinguishes the two, and a fixed margin cannot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Curve {
     mean: [f32; STEPS],
@@ -20,7 +20,8 @@
 }
 
 impl Curve {
-    /// The curve of one answer: what it would hold then, times the chance that it still runs.
+    /// Returns the curve of one answer: at each step, what it would hold then, times the
+    /// probability that it still runs.
     pub fn of(law: &Law, prompt: u64, produced: u64, limit: u64) -> Self {
         let known = law.survival(produced.max(1)).max(f32::MIN_POSITIVE);
         let mut curve = Self::default();
@@ -37,28 +38,28 @@
         curve
     }
 
-    /// The curve of a reservation: the whole limit, held to the end.
+    /// Returns the curve of a reservation: the whole limit, held to the end.
     pub fn reserved(prompt: u64, limit: u64) -> Self {
         Self { mean: [(prompt + limit) as f32; STEPS], variance: [0.0; STEPS] }
     }
 
-    /// Adds another.
+    /// Adds another curve.
     pub fn add(&mut self, other: &Self) {
         self.mean.iter_mut().zip(other.mean).for_each(|(mine, other)| *mine += other);
         self.variance.iter_mut().zip(other.variance).for_each(|(mine, other)| *mine += other);
     }
 
-    /// Takes another away; rounding never leaves less than nothing.
+    /// Subtracts another curve; rounding never leaves a negative value.
     pub fn remove(&mut self, other: &Self) {
         let less = |mine: &mut f32, other: f32| *mine = (*mine - other).max(0.0);
         self.mean.iter_mut().zip(other.mean).for_each(|(mine, other)| less(mine, other));
         self.variance.iter_mut().zip(other.variance).for_each(|(mine, other)| less(mine, other));
     }
 
-    /// The curve of so many more or fewer answers of this kind that together hold `now` tokens.
+    /// Scales the curve to `now` tokens at its first step.
     ///
-    /// A process that has sent nothing yet knows no curve; what it sees held is then taken to stay,
-    /// or it would think full engines empty and flood them.
+    /// An empty curve, as in a process that has not sent anything yet, becomes a constant one: if
+    /// such a process took what others hold for nothing, it would flood full engines.
     pub fn scaled_to(&self, now: f32) -> Self {
         if self.mean[0] <= 0.0 {
             return Self { mean: [now; STEPS], variance: [0.0; STEPS] };
@@ -70,12 +71,13 @@
         }
     }
 
-    /// Its highest mean.
+    /// Returns the highest mean.
     pub fn peak(&self) -> f32 {
         self.mean.iter().copied().fold(0.0, f32::max)
     }
 
-    /// The highest point of the sum of three, `sigmas` standard deviations above the mean.
+    /// Returns the highest point of the sum of three curves, at `sigmas` standard deviations above
+    /// the mean.
     pub fn peak_of(parts: [&Self; 3], sigmas: f32) -> f32 {
         let at = |step: usize| {
             let mean: f32 = parts.iter().map(|part| part.mean[step]).sum();
@@ -85,7 +87,7 @@
         (0..STEPS).map(at).fold(0.0, f32::max)
     }
 
-    /// Tokens held now.
+    /// Returns the tokens held now.
     pub fn now(&self) -> f32 {
         self.mean[0]
     }
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -1,39 +1,37 @@
-//! Hedges: a second send of an idempotent lookup that is slower than most.
+//! Hedged requests: a second attempt of an idempotent lookup that takes longer than most.
 //!
-//! **Load pattern.** Small lookups of the search and booking pages, of which now and then one
-//! meets a stalled link or a paused target. A lookup simply has to answer.
+//! A small lookup that meets a stalled link or a paused target would otherwise wait up to the
+//! timeout, and the page that needs it with it.
 //!
-//! **Without it.** The page waits for the slowest target, up to the timeout.
-//!
-//! **Figures.** A hedge goes out after the [`QUANTILE`] of recent latencies, so that about one
-//! lookup in twenty asks for one, and [`EARNED`] grants no more than that even when all are slow:
-//! hedges must not double the load of an overloaded service. Generations are never hedged, since
-//! a second one costs an engine's memory, and calls that are not idempotent run at most once.
+//! The hedge is sent after the [`QUANTILE`] of recent latencies, so that about one lookup in twenty
+//! qualifies, and [`EARNED`] bounds hedges to that rate even if all lookups are slow: hedges must
+//! not double the load of an overloaded service. Generations are never hedged, since a second one
+//! uses memory of an engine, and calls that are not idempotent run at most once.
 
 use std::time::Duration;
 
-/// The quantile of recent latencies after which a hedge goes out.
+/// Quantile of recent latencies after which a hedge is sent.
 pub const QUANTILE: f64 = 0.95;
 
-/// What one lookup earns, in hedges.
+/// Hedges that one lookup adds to the budget.
 pub const EARNED: f64 = 0.05;
 
-/// The most hedges that may be saved up: a stalled target holds about that many lookups.
+/// Capacity of the budget, in hedges: about as many lookups are in flight at a target that stalls.
 pub const BURST: f64 = 5.0;
 
-/// The shortest delay: below a round trip between failure domains a hedge can gain nothing.
+/// Shortest delay before a hedge: below a round trip between failure domains a hedge gains nothing.
 pub const SHORTEST: Duration = Duration::from_millis(2);
 
-/// Latencies remembered; enough for a steady 95th percentile, few enough to follow a change.
+/// Latencies in the window: enough for a steady 95th percentile, few enough to follow a change.
 const WINDOW: usize = 256;
 
-/// Latencies needed before the quantile means anything.
+/// Latencies needed before the quantile is meaningful.
 const NEEDED: usize = 20;
 
-/// How many new latencies change the delay; sorting the window for each would be waste.
+/// New latencies after which the delay is recomputed, since that selects from the whole window.
 const REFRESH: usize = 16;
 
-/// Decides on the hedges of one service at one entry.
+/// Budget and delay of hedges, for one service at one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     recent: Vec<Duration>,
@@ -44,17 +42,17 @@
 }
 
 impl Budget {
-    /// Opens a budget that has seen no lookup and grants no hedge yet.
+    /// Creates a budget that has seen no lookup and grants no hedge yet.
     pub fn open() -> Self {
         Self::default()
     }
 
-    /// Notes that a lookup was sent, which earns a part of a hedge.
+    /// Records that a lookup was sent, which adds [`EARNED`] to the budget.
     pub fn sent(&mut self) {
         self.left = (self.left + EARNED).min(BURST);
     }
 
-    /// Notes how long an answered lookup took, hedged or not.
+    /// Records the latency of a lookup, hedged or not.
     pub fn answered(&mut self, latency: Duration) {
         match self.recent.get_mut(self.next) {
             Some(oldest) => *oldest = latency,
@@ -68,12 +66,13 @@
         }
     }
 
-    /// How long to wait for the first answer before a hedge, or `None` while too little is known.
+    /// How long to wait for the first attempt before a hedge is sent; `None` while too few
+    /// latencies are known.
     pub fn delay(&self) -> Option<Duration> {
         self.delay
     }
 
-    /// Takes one hedge, or says that none is left.
+    /// Takes one hedge from the budget; returns false if none is left.
     pub fn try_take(&mut self) -> bool {
         let granted = self.left >= 1.0;
         if granted {
--- a/crates/policy/src/newcomer.rs
+++ b/crates/policy/src/newcomer.rs
@@ -1,18 +1,18 @@
-//! Which entry may send first to an engine that has just come.
+//! Staggers the first requests of the entries to an engine that has just joined.
 //!
-//! **Load pattern** (`newcomers`): borrowed engines are replaced ten at a time, all entries hear of
-//! the new ones within the same few milliseconds, and each has requests that wait for room.
+//! Borrowed engines are replaced ten at a time, all entries learn of the new ones within a few
+//! milliseconds, and each entry has requests that wait for room. Without a delay every entry sends
+//! all of them to the engines that look empty before it has learned what the others sent. An engine
+//! computes one prompt after the other, in 0.2 to 0.4 s each, so the last of nineteen begins four
+//! seconds late: on a busy day of the larger deployment, 176 of the 258 long answers that began
+//! late had been sent to an engine less than a second old.
 //!
-//! **Without it.** Every entry sends all that it has waiting to the engines that look empty, before
-//! any has heard of the others' sends. An engine reads one prompt after the other, 0.2 to 0.4 s
-//! each, so the last of nineteen begins four seconds late. On a heavy day of the larger new
-//! deployment, 176 of the 258 long answers that began late had been sent to an engine less than a
-//! second old. **With it** the entries come in an order that differs from engine to engine, 50 ms
-//! apart: each hears what those before it sent, and 30 began late so.
+//! The entries therefore begin one after another, 50 ms apart, in an order that differs from engine
+//! to engine, so that each has learned what those before it sent. With it, 30 answers began late
+//! for this reason.
 //!
-//! The order is rendezvous among the entries that carry the traffic, so nobody is asked and nobody
-//! elected; where two entries see different members, two may come together, which is what happened
-//! always before.
+//! The order is that of rendezvous hashing over the entries that carry traffic, so it needs no
+//! messages and no election. Entries that see different members may begin at the same time.
 
 use std::time::Duration;
 
@@ -20,15 +20,16 @@
 use crate::rendezvous;
 use crate::time::Time;
 
-/// Time between two entries' turns: what an entry sends is told within 15 ms and the way, and one
-/// prompt takes four times as long to be read, so the engine does not idle meanwhile.
+/// Time between the starts of two entries. What an entry sends is announced to the others within 15
+/// ms and the network delay, and the prefill of one prompt takes four times as long as this
+/// interval, so the engine is not idle meanwhile.
 const TURN: Duration = Duration::from_millis(50);
 
-/// The longest that an entry waits for its turn, however many entries there are: an engine that
-/// nobody before it wanted is not to stay empty.
+/// Longest delay of an entry, however many entries there are, so that an engine does not stay empty
+/// if none of the earlier entries has requests for it.
 const LONGEST: Duration = Duration::from_secs(1);
 
-/// The entries that send, and which of them this one is.
+/// The entries that send, and which of them this one is. The default has no delays.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Order {
     entries: Vec<id::Host>,
@@ -36,12 +37,12 @@
 }
 
 impl Order {
-    /// The order in which `own` comes among `entries`.
+    /// Creates the order in which `own` begins among `entries`.
     pub fn of(own: id::Host, entries: Vec<id::Host>) -> Self {
         Self { entries, own: Some(own) }
     }
 
-    /// How long after an engine has come this entry leaves it to others.
+    /// How long after an engine has joined this entry leaves it to the others.
     pub(crate) fn pause(&self, engine: &id::Target) -> Duration {
         let Some(own) = &self.own else { return Duration::ZERO };
         let ranked = rendezvous::rank(engine.as_str(), &self.entries, |host| host.as_str());
@@ -50,7 +51,7 @@
     }
 }
 
-/// When this entry may send to an engine, from when it came.
+/// When this entry may begin to send to an engine that has joined.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     came: Time,
@@ -62,7 +63,7 @@
         Self { came, from: came + order.pause(engine) }
     }
 
-    /// The same under another order of entries.
+    /// Recomputes the delay for another order of entries.
     pub(crate) fn reordered(self, order: &Order, engine: &id::Target) -> Self {
         Self::at(self.came, order, engine)
     }
--- a/crates/policy/src/slot.rs
+++ b/crates/policy/src/slot.rs
@@ -1,4 +1,4 @@
-//! What one entry knows of one target.
+//! The state of one target at one entry.
 
 use std::time::Duration;
 
@@ -11,35 +11,36 @@
 use crate::share::Share;
 use crate::time::Time;
 
-/// After a failure nothing more is sent for so long; the detector of slow targets judges after.
-/// It spans the reconnection of a link, and is short beside any patience.
+/// How long a target receives nothing after a failure; after that, outlier ejection decides. It
+/// covers the reconnection of a link, and is short compared with the patience of callers.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// Streams of one entry at a target just short of its full weight; at the weight at which a
-/// target returns this allows one.
+/// Streams of one entry at a target, for each unit of its weight, while the weight is below 1. At
+/// the weight at which a target returns from ejection this allows one stream.
 const RETURNING: f64 = 10.0;
 
-/// Prompt tokens waiting to be read at a target that weigh as much as its whole memory in use.
+/// Prompt tokens waiting for prefill that count as much as the whole memory of a target in use.
 ///
-/// The failure: prompts of several entries meet at an engine that has room, are read one after the
-/// other at some 14 tokens a millisecond, and the last of them begins a second late while other
-/// engines read nothing. On the users' deployments a prompt holds 3,000 tokens, so one that waits
-/// counts for a quarter of an engine.
+/// Prompts of several entries can meet at an engine that has room. They are computed one after the
+/// other at some 14 tokens per millisecond, and the last of them begins a second late while other
+/// engines are idle. On the users' deployments a prompt has 3,000 tokens, so that one waiting
+/// prompt counts as a quarter of an engine.
 const READ: f64 = 12_000.0;
 
-/// Prompts of the mean size that may wait to be read at one target, the new one included.
+/// Prompts of mean length that may wait for prefill at one target, the new one included.
 ///
-/// **Failure:** a prompt that waits inside an engine can't be taken back, however late it gets, and
-/// one that came after it can't be put before it. At the entry both can. Two and a little, since one
-/// is read while the next arrives, and prompts differ by a third. With turns at newcomers the long
-/// answers of a heavy day that began late went from 258 to 157; the bound without the turns, or the
-/// turns without the bound, did not raise the worth.
+/// A prompt that waits inside an engine can neither be taken back, however late it gets, nor be
+/// overtaken by a later one; at the entry both are possible. The bound is a little above two since
+/// one prompt is computed while the next arrives, and since prompt lengths differ by a third.
+/// Together with [`crate::newcomer`] it lowers the long answers of a busy day that begin late from
+/// 258 to 157; neither of the two alone raises the mean value of a request.
 const AHEAD: f64 = 2.25;
 
-/// Far less load than one answer makes.
+/// Load that breaks ties between targets by the time of the last send; far below the load of one
+/// answer.
 const TRACE: f64 = 1e-6;
 
-/// One target.
+/// The state of one target.
 #[derive(Debug)]
 pub(crate) struct Slot {
     pub(crate) name: id::Target,
@@ -51,20 +52,20 @@
     pub(crate) share: Share,
     pub(crate) room: Room,
     pub(crate) pace: Pace,
-    /// Streams sent that have produced nothing yet.
+    /// Streams that have not produced their first token.
     pub(crate) unstarted: u32,
-    /// Prompt tokens of these.
+    /// Prompt tokens of these streams.
     pub(crate) unread: u64,
-    /// The same of other entries, as they last told.
+    /// Prompt tokens of such streams of other entries, as last announced.
     pub(crate) others_unread: u64,
-    /// The gate's count of sends when this target was last sent to.
+    /// The gate's count of sends at the last send to this target.
     pub(crate) turn: u64,
-    /// Since when it may be sent to, as one that came lately.
+    /// Delay before this entry sends to it after it has joined.
     pub(crate) arrival: Arrival,
     paused: Time,
-    /// Until when it takes no more requests of this entry.
+    /// Until when it receives nothing more from this entry.
     closed: Time,
-    /// Why it takes no more.
+    /// Why it receives nothing more.
     closed_for: Exclusion,
 }
 
@@ -91,55 +92,57 @@
         }
     }
 
-    /// Prompt tokens that wait to be read there, of all entries.
+    /// Prompt tokens of all entries that wait for prefill there.
     pub(crate) fn waiting(&self) -> u64 {
         self.unread + self.others_unread
     }
 
-    /// Whether a prompt would be read there without waiting behind more than the bound, where
-    /// prompts hold `ordinary` tokens at the mean.
+    /// Whether a prompt would start prefill there without waiting behind more prompts than the
+    /// bound allows, where `ordinary` is the mean prompt length in tokens.
     pub(crate) fn reads_soon(&self, prompt: u64, ordinary: f64) -> bool {
         let waiting = self.waiting();
         waiting == 0 || (waiting + prompt) as f64 <= AHEAD * ordinary
     }
 
-    /// Notes that a prompt was sent.
+    /// Records that a prompt was sent.
     pub(crate) fn begins(&mut self, prompt: u64) {
         self.unstarted += 1;
         self.unread += prompt;
     }
 
-    /// Notes that an answer has begun, or never will.
+    /// Records that an answer has begun or has ended without a token.
     pub(crate) fn begun(&mut self, prompt: u64) {
         self.unstarted = self.unstarted.saturating_sub(1);
         self.unread = self.unread.saturating_sub(prompt);
     }
 
-    /// Notes a failure.
+    /// Records a failure at `now`.
     pub(crate) fn pause(&mut self, now: Time) {
         self.paused = now + PAUSE;
     }
 
-    /// Sends nothing more before a time: the target takes no more until then.
+    /// Suspends the target until a time, unless it is already suspended for longer.
     pub(crate) fn close(&mut self, until: Time, why: Exclusion) {
         if until > self.closed {
             (self.closed, self.closed_for) = (until, why);
         }
     }
 
-    /// How long it takes no more; zero where it does.
+    /// How long it remains suspended; zero if it is not.
     pub(crate) fn closed(&self, now: Time) -> Duration {
         self.closed.since(now)
     }
 
-    /// Its load, with a trace of how recently it was sent to: targets that are otherwise equal take
-    /// turns, so that each of a nearly idle fleet goes on showing that it works.
+    /// Returns its load for placement: memory, prompts that wait for prefill, and a tie-breaker by
+    /// the time of the last send. With the tie-breaker, targets that are otherwise equal take
+    /// turns, so that each target of a nearly idle fleet keeps getting requests that show whether
+    /// it works.
     pub(crate) fn load(&self, sends: u64) -> f64 {
         let unread = self.waiting() as f64 / READ;
         self.room.load() + unread + TRACE * self.turn as f64 / sends.max(1) as f64
     }
 
-    /// Why it may receive nothing now; `None` where it may.
+    /// Why it may receive nothing now; `None` if it may.
     pub(crate) fn exclusion(&self, now: Time) -> Option<Exclusion> {
         let firm = self.firm_exclusion(now);
         let doubts =
@@ -148,7 +151,8 @@
         firm.or_else(doubt)
     }
 
-    /// The same, where doubt alone excludes nothing: better a target in doubt than no answer.
+    /// Why it may receive nothing even if no better target is left; `None` if it may. Recent
+    /// failures and ejection do not count here, since a suspect target is better than no answer.
     pub(crate) fn firm_exclusion(&self, now: Time) -> Option<Exclusion> {
         let reasons = [
             (!self.listed, Exclusion::Drains),
@@ -158,30 +162,30 @@
         reasons.into_iter().find(|(holds, _)| *holds).map(|(_, why)| why)
     }
 
-    /// Whether it may receive anything.
+    /// Whether it may receive requests now.
     pub(crate) fn is_up(&self, now: Time) -> bool {
         self.exclusion(now).is_none()
     }
 
-    /// Whether it belongs to the targets that answers go to.
+    /// Whether it is listed and not cordoned.
     pub(crate) fn is_open(&self) -> bool {
         self.listed && !self.cordoned
     }
 
-    /// Whether its weight bears one more stream. A target that returns from ejection is empty and
-    /// would draw everything at once, however slow it still is: its streams are bounded until it
-    /// has its full weight.
+    /// Whether its weight allows one more stream. A target that returns from ejection is empty and
+    /// would attract all requests at once, however slow it still is, so its streams are bounded
+    /// until it has its full weight.
     fn is_trusted(&self) -> bool {
         let bound = f64::from(self.room.streams()) < self.weight * RETURNING;
         self.weight >= 1.0 || bound
     }
 
-    /// Streams that the pace leaves this entry to add: its share of those below the bound.
+    /// Whether the bound on streams allows one more stream of this entry.
     pub(crate) fn has_pace(&self, now: Time, share: f64) -> bool {
         let bound = self.pace.bound(now);
         let all = f64::from(self.room.all_streams());
         let own = f64::from(self.room.streams());
-        // An entry below its equal part of the bound may always go on.
+        // An entry below its share of the bound may always send.
         all < bound || own < bound * share
     }
 }
