--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -202,9 +202,9 @@
         self.state.lock().gate.close(self.clock.now(), target, wait, why);
     }
 
-    /// Whether targets have room to take over what others hold; see [`Gate::has_refuge`].
+    /// Whether targets have room to take over what others hold; see [`Gate::has_spare_capacity`].
     pub fn has_refuge(&self) -> bool {
-        self.state.lock().gate.has_refuge()
+        self.state.lock().gate.has_spare_capacity()
     }
 
     /// What this entry's running requests hold, target by target.
@@ -269,11 +269,11 @@
         self.lane.state.lock().gate.grounds(self.request)
     }
 
-    /// Where the answer's memory is best copied or moved; see [`Gate::refuges`].
+    /// Where the answer's memory is best copied or moved; see [`Gate::migration_targets`].
     pub fn refuges(&self, near: &BTreeSet<id::Target>, reserve: Option<f64>) -> Vec<id::Target> {
         let now = self.lane.clock.now();
         let mut state = self.lane.state.lock();
-        state.gate.refuges(now, &mut rand::rng(), self.request, near, reserve)
+        state.gate.migration_targets(now, &mut rand::rng(), self.request, near, reserve)
     }
 
     /// Whether the answer may be begun anew elsewhere; see [`Gate::try_repeat`].
--- a/crates/policy/src/gate/carry.rs
+++ b/crates/policy/src/gate/migration.rs
@@ -16,7 +16,7 @@
 
 /// Load above which a target in the same failure domain is no longer preferred to targets
 /// elsewhere: an answer of ordinary length no longer fits.
-const FULL: f64 = 0.85;
+const NEARLY_FULL: f64 = 0.85;
 
 /// Load added to every target's before destinations are drawn, so that an empty target is drawn
 /// first only a few times as often as a full one.
@@ -24,7 +24,7 @@
 /// Without it a target that was just added, which is empty, is the first choice for every copy of
 /// every entry. The copies share its one link, and migrations that take 0.2 s take 1.5 s and more,
 /// by which time their source is gone.
-const SLACK: f64 = 0.25;
+const BASE_LOAD: f64 = 0.25;
 
 /// Mean load of all targets below which it pays to look for targets that leave unannounced.
 ///
@@ -35,7 +35,7 @@
 /// 0.372 with a limit of 0.75, 0.483 and 0.387 with 0.6. With engines a third to half full (the
 /// same on the smaller deployments, six seeds) it was 0.642 and 0.451, 0.660 and 0.457, 0.658 and
 /// 0.460, 0.655 and 0.462.
-const SPARE: f64 = 0.6;
+const MAX_MEAN_LOAD: f64 = 0.6;
 
 /// Preference for a target as the destination of a migrating answer, the best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -74,11 +74,11 @@
     }
 
     /// Whether the targets as a whole have room for the answers of targets that leave.
-    pub fn has_refuge(&self) -> bool {
+    pub fn has_spare_capacity(&self) -> bool {
         let listed = self.slots.iter().filter(|slot| slot.is_open());
         let (count, load) =
             listed.fold((0.0, 0.0), |(count, load), slot| (count + 1.0, load + slot.room.load()));
-        load < SPARE * count
+        load < MAX_MEAN_LOAD * count
     }
 
     /// Returns the targets to which the memory of a running answer is best copied or migrated, the
@@ -100,7 +100,7 @@
     /// predicted, and an answer that is preempted at its new target is late, while one that stays
     /// is lost. Targets on which the answer's present memory does not fit come last: they refuse,
     /// and each refusal uses up part of the notice period.
-    pub fn refuges(
+    pub fn migration_targets(
         &mut self,
         now: Time,
         rng: &mut impl Rng,
@@ -109,12 +109,12 @@
         reserve: Option<f64>,
     ) -> Vec<id::Target> {
         self.weigh(now);
-        if reserve.is_some() && !self.has_refuge() {
+        if reserve.is_some() && !self.has_spare_capacity() {
             return Vec::new();
         }
         let Some(running) = self.running.get(&request) else { return Vec::new() };
         let (own, curve, class) = (running.slot, running.curve, running.ask.class);
-        let mut fitting: Vec<(Rank, f64, &id::Target)> = Vec::new();
+        let mut ranked: Vec<(Rank, f64, &id::Target)> = Vec::new();
         for (at, slot) in self.slots.iter().enumerate() {
             if at == own || !slot.is_up(now) {
                 continue;
@@ -127,17 +127,17 @@
                     continue;
                 }
             }
-            let cost = (slot.room.load() + SLACK) * rng.random_range(0.0..1.0);
+            let cost = (slot.room.load() + BASE_LOAD) * rng.random_range(0.0..1.0);
             let load = slot.room.load();
             let rank = match slot.room.load_with(&curve) > 1.0 {
                 true => Rank::Full,
-                false if load <= FULL && near.contains(&slot.name) => Rank::Near,
+                false if load <= NEARLY_FULL && near.contains(&slot.name) => Rank::Near,
                 false => Rank::Far,
             };
-            fitting.push((rank, cost, &slot.name));
+            ranked.push((rank, cost, &slot.name));
         }
-        fitting.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        fitting.into_iter().map(|(_, _, name)| name.clone()).collect()
+        ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        ranked.into_iter().map(|(_, _, name)| name.clone()).collect()
     }
 
     /// Records that a running answer was migrated to another target.
@@ -164,7 +164,7 @@
     ///
     /// Borrowed targets join and leave all day, each under a new name. Without this the gate would
     /// grow, and every placement would scan all targets that ever existed.
-    pub(super) fn forget_unused(&mut self) {
+    pub(super) fn remove_unused(&mut self) {
         let mut moved: Vec<Option<usize>> = Vec::with_capacity(self.slots.len());
         let mut kept = Vec::with_capacity(self.slots.len());
         for slot in self.slots.drain(..) {
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -6,7 +6,7 @@
 //! mechanisms that have modules of their own: memory prediction, fair queueing, shares, placement,
 //! outlier ejection and retry budgets.
 
-mod carry;
+mod migration;
 mod place;
 mod settings;
 mod targets;
@@ -33,7 +33,7 @@
 use crate::usage::Usage;
 use crate::witness::{Observer, Outcome as Ending};
 
-pub use carry::Holding;
+pub use migration::Holding;
 pub use settings::Settings;
 
 /// Work of one prompt token, where a generated token is 1: engines compute the tokens of a prompt
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -55,7 +55,7 @@
             }
             self.slots[at].listed = true;
         }
-        self.forget_unused();
+        self.remove_unused();
         self.divide(now);
     }
 
--- a/crates/policy/tests/cordoned.rs
+++ b/crates/policy/tests/cordoned.rs
@@ -172,8 +172,10 @@
     gate.set_cordoned(at(0), &all);
     assert_eq!(gate.offer(at(0), &mut rng, ask(1, at(0))), Verdict::Send(engine(0)));
     let request = id::Request::new(1);
-    assert!(gate.refuges(at(0), &mut rng, request, &BTreeSet::new(), None).is_empty());
-    assert!(gate.refuges(at(0), &mut rng, request, &BTreeSet::new(), Some(0.5)).is_empty());
+    assert!(gate.migration_targets(at(0), &mut rng, request, &BTreeSet::new(), None).is_empty());
+    assert!(
+        gate.migration_targets(at(0), &mut rng, request, &BTreeSet::new(), Some(0.5)).is_empty()
+    );
     let repeat = Ask { avoid: Some(engine(0)), repeat: true, ..ask(2, at(0)) };
     assert_eq!(gate.offer(at(0), &mut rng, repeat), Verdict::Wait);
     let lookup = Ask { class: Class::Lookup, limit: Tokens::default(), ..ask(3, at(0)) };
--- a/crates/policy/tests/gate.rs
+++ b/crates/policy/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate as an entry uses it: what it never does, whatever happens.
+//! Invariants of the gate, as an entry uses it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -46,8 +46,8 @@
     gate
 }
 
-/// The search page asks while every engine is full of manuscripts and a thousand pages wait. The
-/// lookup must go out at once; behind the pages it would be answered after minutes.
+/// Every engine is full and a thousand generations are queued; a lookup behind them would be
+/// answered only after minutes. It must be sent at once.
 #[test]
 fn a_lookup_never_waits_behind_generations() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -60,7 +60,8 @@
     assert!(matches!(gate.offer(Time::ZERO, &mut rng, lookup), Verdict::Send(_)));
 }
 
-/// A request waits, its deadline passes, its caller is told. It has been sent nowhere.
+/// A queued request whose deadline passes must be refused, with a retry delay, and without having
+/// been sent.
 #[test]
 fn what_waits_past_its_deadline_is_refused_and_was_sent_nowhere() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -96,8 +97,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Whatever callers, engines and time do: each request is told one thing, a refused one has
-    /// touched no target, and nothing stays in the queue for ever.
+    /// For any sequence of requests, reports, progress and ends, each request gets exactly one
+    /// verdict, and none stays queued after its deadline.
     #[test]
     fn a_refused_request_touched_no_target(steps in prop::collection::vec(step(), 1..200)) {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -128,7 +129,7 @@
                 }
                 Step::Finish(at, whole) => {
                     let outcome = if whole { Outcome::Whole } else { Outcome::Failed };
-                    // Only what was sent can end; a queued one is left to its deadline.
+                    // Only a request that was sent can end; a queued one is left to its deadline.
                     let sent = |r: &id::Request| matches!(told.get(r), Some(Verdict::Send(_)));
                     pick(at).filter(sent).into_iter().for_each(|r| gate.finish(now, r, outcome));
                 }
@@ -146,9 +147,9 @@
     }
 }
 
-/// A search page fails twice at the same target while others are free: each of them had answered
-/// some request with an error of its own within the last second, so all were in doubt, and the one
-/// that had just hung up was drawn again.
+/// Guards against a retry at the target that has just failed the request. It comes about when every
+/// target has failed some request within the last second, so that all are suspect and any of them
+/// may be chosen.
 #[test]
 fn a_second_attempt_avoids_the_target_that_just_failed() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
@@ -171,8 +172,9 @@
     }
 }
 
-/// One target in eight answers with an error of its own; each such answer kept all lookups off it
-/// for a second, so that three targets were hardly ever free of doubt.
+/// Guards against a target being excluded for a second because of an error response. Where one
+/// target in eight answers with errors, such pauses leave hardly any of three targets eligible for
+/// lookups.
 #[test]
 fn an_error_of_its_own_does_not_pause_a_target() {
     let mut rng = ChaCha8Rng::seed_from_u64(6);
@@ -190,9 +192,9 @@
     assert_eq!(seen.len(), 2);
 }
 
-/// Targets vanish and each request's first connection fails; the budget for repeats is soon spent,
-/// and requests that no target ever got are refused with others free. What arrived nowhere is no
-/// repeat.
+/// Guards against attempts that never reached a target using up the retry budget. It comes about
+/// when targets vanish and connections to them fail: requests would be refused although other
+/// targets are free.
 #[test]
 fn a_request_that_arrived_nowhere_draws_on_no_budget() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -207,7 +209,8 @@
     }
 }
 
-/// Guards against requests going to a target that takes no more, or waiting where none does.
+/// Guards against requests being sent to a target that accepts no more, or being queued when no
+/// target does.
 #[test]
 fn what_a_target_does_not_take_goes_to_others_or_is_refused() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
--- a/crates/policy/tests/late.rs
+++ b/crates/policy/tests/late.rs
@@ -1,4 +1,4 @@
-//! Pattern `overload`: more long answers are asked for than fit, for longer than their objectives.
+//! Overload: more long answers are requested than fit, for longer than their objectives.
 
 use std::time::Duration;
 
@@ -9,18 +9,19 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Engines, their memory, and a prompt, as on the larger new deployment at a sixth of its size.
+/// Engines, their memory and a prompt in tokens, as on the larger deployment at a sixth of its
+/// size.
 const ENGINES: usize = 9;
 const MEMORY: u64 = 21_874;
 const PROMPT: u64 = 3_000;
 
-/// The objective there.
+/// The objective for the first token there.
 const OBJECTIVE: Duration = Duration::from_millis(1_800);
 
-/// How long callers wait for a first event there.
+/// How long callers there wait for the first token.
 const SILENCE: Duration = Duration::from_millis(6_900);
 
-/// How often waiting requests are looked at.
+/// Interval at which queued requests are polled.
 const POLL: Duration = Duration::from_millis(20);
 
 fn at(ms: u64) -> Time {
@@ -54,7 +55,7 @@
     gate
 }
 
-/// Tells that other entries hold a part of an engine's memory.
+/// Reports that other entries hold a part of an engine's memory.
 fn hold(gate: &mut Gate, n: usize, now: Time, part: f64) {
     let used = Tokens::new((MEMORY as f64 * part) as u64);
     let running = u32::from(part > 0.0) * 4;
@@ -62,7 +63,7 @@
     gate.report(now, &engine(n), &report, Duration::ZERO);
 }
 
-/// Requests that come, and what became of them.
+/// Counts of requests by outcome.
 #[derive(Debug, Default)]
 struct Day {
     asked: u32,
@@ -71,10 +72,11 @@
     refused: u32,
 }
 
-/// A minute in which a fifth more is asked than nine engines hold; answers take eight seconds.
+/// Simulates a minute in which a fifth more is requested than nine engines hold; answers take eight
+/// seconds.
 fn overloaded(late: bool) -> Day {
     const RUN: Duration = Duration::from_secs(8);
-    // Seven answers fit into an engine, so 7.9 a second do into nine.
+    // Seven answers fit into an engine, so nine engines complete 7.9 a second.
     const ASKED: f64 = 9.4;
     let (mut rng, mut arrivals) = (SmallRng::seed_from_u64(3), SmallRng::seed_from_u64(5));
     let mut gate = gate(late, ENGINES);
@@ -114,8 +116,8 @@
     day
 }
 
-/// Estimators wait two seconds too long for a third of their drafts, though one in six would have to
-/// be late: those that were late already took the room of those that were not yet.
+/// Guards against a third of the answers beginning late, although one in six would have to: late
+/// requests would take the memory of those that are not yet late.
 #[test]
 fn the_room_goes_to_those_that_can_still_be_on_time() {
     let (before, after) = (overloaded(false), overloaded(true));
@@ -124,9 +126,8 @@
     assert!(after.late < before.late / 2, "{after:?} {before:?}");
 }
 
-/// A request finds no room and can no longer begin on time. Its caller is told at once that it was
-/// not run, and to come back when engines that were taken back are replaced; it does not hang until
-/// the caller leaves.
+/// A request that finds no room and can no longer begin by its objective must be refused soon, with
+/// a delay after which reclaimed engines are replaced, instead of waiting until its caller leaves.
 #[test]
 fn what_is_late_is_sent_away_soon() {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -141,8 +142,8 @@
     assert!(after >= Duration::from_secs(5) && after <= Duration::from_millis(7_500), "{after:?}");
 }
 
-/// One that comes back late takes no room that a new one could use, but any that is left over, and
-/// may wait for it as long as its caller does.
+/// A late request that returns must not take room that a new one could use, only spare capacity,
+/// and may wait for it until its deadline.
 #[test]
 fn what_comes_back_takes_what_is_left_over() {
     let mut rng = SmallRng::seed_from_u64(1);
--- a/crates/policy/tests/carry.rs
+++ b/crates/policy/tests/migration.rs
@@ -1,4 +1,4 @@
-//! Pattern `reclaim`: where answers go on when their target leaves.
+//! Targets to which running answers are migrated when theirs leaves.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -59,14 +59,15 @@
         }
     }
 
-    fn refuges(&mut self, near: &[id::Target], reserve: Option<f64>) -> Vec<id::Target> {
+    fn migration_targets(&mut self, near: &[id::Target], reserve: Option<f64>) -> Vec<id::Target> {
         let near: BTreeSet<id::Target> = near.iter().cloned().collect();
         let request = id::Request::new(1);
-        self.gate.refuges(self.now, &mut self.rng, request, &near, reserve)
+        self.gate.migration_targets(self.now, &mut self.rng, request, &near, reserve)
     }
 }
 
-/// An engine was just added and is empty: if every copy went there, they would share its one link.
+/// An engine has just been added and is empty. If every copy went to it, they would share its one
+/// link.
 #[test]
 fn an_empty_engine_does_not_draw_every_copy() {
     let targets = names(0..10);
@@ -77,11 +78,13 @@
     for target in targets.iter().filter(|t| **t != empty) {
         world.gate.report(world.now, target, &busy, Duration::ZERO);
     }
-    let first = (0..200).filter(|_| world.refuges(&[], None).first() == Some(&empty)).count();
+    let first =
+        (0..200).filter(|_| world.migration_targets(&[], None).first() == Some(&empty)).count();
     assert!((30..120).contains(&first), "{first} of 200");
 }
 
-/// A copy to another failure domain takes twice as long, and the engine is gone before it is there.
+/// A copy to another failure domain takes twice as long, and may not be complete before its source
+/// is gone.
 #[test]
 fn engines_nearby_go_first() {
     let targets = names(0..8);
@@ -89,15 +92,18 @@
     let own = world.send(1);
     let near: Vec<id::Target> = targets.iter().filter(|t| **t != own).take(2).cloned().collect();
     for _ in 0..50 {
-        let refuges = world.refuges(&near, None);
-        assert!(refuges[..2].iter().all(|refuge| near.contains(refuge)), "{refuges:?}");
-        assert!(!refuges.contains(&own));
-        assert_eq!(refuges.len(), 7);
+        let migration_targets = world.migration_targets(&near, None);
+        assert!(
+            migration_targets[..2].iter().all(|refuge| near.contains(refuge)),
+            "{migration_targets:?}"
+        );
+        assert!(!migration_targets.contains(&own));
+        assert_eq!(migration_targets.len(), 7);
     }
 }
 
-/// Copies ahead fill the memory that answers need: with a reserve only engines with room are named,
-/// without one every other engine is, since an answer that stays is lost.
+/// Copies made ahead use memory that answers need, so with a reserve only engines with room are
+/// returned. Without one every other engine is, since an answer that stays is lost.
 #[test]
 fn a_reserve_leaves_out_full_engines() {
     let targets = names(0..4);
@@ -106,11 +112,12 @@
     for target in targets.iter().filter(|t| **t != own) {
         world.gate.report(world.now, target, &report(MEMORY / 2), Duration::ZERO);
     }
-    assert!(world.refuges(&[], Some(0.65)).is_empty());
-    assert_eq!(world.refuges(&[], None).len(), 3);
+    assert!(world.migration_targets(&[], Some(0.65)).is_empty());
+    assert_eq!(world.migration_targets(&[], None).len(), 3);
 }
 
-/// An answer that moved is counted where it is now, and at its end nowhere.
+/// Guards against a migrated answer being counted at its old target, or still being counted after
+/// its end.
 #[test]
 fn a_moved_answer_is_counted_at_its_new_target() {
     let targets = names(0..2);
@@ -124,8 +131,8 @@
     assert_eq!(world.gate.holdings().count(), 0);
 }
 
-/// Borrowed engines come and go all day under new names, and the gate must not grow with them,
-/// while what still runs at one that left goes on to its end.
+/// Borrowed engines join and leave all day under new names. The gate must not grow with them, and
+/// an answer that still runs at one that left must be able to finish.
 #[test]
 fn targets_that_left_are_forgotten_once_unused() {
     let mut world = World::open(&names(0..4));
@@ -139,8 +146,9 @@
     assert!(!text.contains("\"e-0\"") && !text.contains("\"e-1996\""), "old names are kept");
 }
 
-/// A page is cut although an engine has room: each that was asked before it was full, refused, and
-/// took a part of the notice. Engines where the page does not fit now come last, even nearby ones.
+/// Guards against an answer being cut although an engine has room, because engines without room are
+/// tried first: each refuses, which uses up part of the notice period. Engines on which the answer
+/// does not fit now come last, even in the same failure domain.
 #[test]
 fn engines_without_room_come_last() {
     let targets = names(0..8);
@@ -152,30 +160,33 @@
         world.gate.report(world.now, target, &report(MEMORY - 1_000), Duration::ZERO);
     }
     for _ in 0..50 {
-        let refuges = world.refuges(full, None);
-        assert!(refuges[..2].iter().all(|refuge| free.contains(refuge)), "{refuges:?}");
-        assert_eq!(refuges.len(), 7);
+        let migration_targets = world.migration_targets(full, None);
+        assert!(
+            migration_targets[..2].iter().all(|refuge| free.contains(refuge)),
+            "{migration_targets:?}"
+        );
+        assert_eq!(migration_targets.len(), 7);
     }
 }
 
-/// Engines are full, the registry is away, and pages that leave an engine push others out: more are
-/// late than would have been cut. Whether there is room decides.
+/// If engines are full while the registry is unavailable, answers that are migrated displace
+/// others, and more are late than would have been cut. Whether there is room in the mean decides.
 #[test]
 fn there_is_a_refuge_while_engines_have_room() {
     let targets = names(0..4);
     let mut world = World::open(&targets);
-    assert!(world.gate.has_refuge());
+    assert!(world.gate.has_spare_capacity());
     for target in &targets[..2] {
         world.gate.report(world.now, target, &report(MEMORY), Duration::ZERO);
     }
-    assert!(world.gate.has_refuge(), "half of the room is free");
+    assert!(world.gate.has_spare_capacity(), "half of the room is free");
     world.gate.report(world.now, &targets[2], &report(MEMORY), Duration::ZERO);
     world.gate.report(world.now, &targets[3], &report(MEMORY / 2), Duration::ZERO);
-    assert!(!world.gate.has_refuge());
+    assert!(!world.gate.has_spare_capacity());
 }
 
-/// An engine runs nothing yet and keeps memory for answers that are on their way to it. A page that
-/// is sent there waits inside it until they have come and gone, however empty it looks.
+/// An engine runs nothing yet but holds memory for answers that are being copied to it. A request
+/// that is sent there waits inside it until these have ended, however empty it looks.
 #[test]
 fn an_engine_that_keeps_memory_for_copies_is_not_idle() {
     let targets = names(0..2);
@@ -192,8 +203,8 @@
     assert!(!sent.is_empty() && sent.iter().all(|target| *target == targets[1]), "{sent:?}");
 }
 
-/// Half of the drafts begin late although engines that were taken back have been replaced: the new
-/// ones are filled with copies made for the case of a crash, while all others are full of answers.
+/// Guards against half of the answers beginning late because engines that have just joined are
+/// filled with copies made ahead for crashes, while all other engines are full of answers.
 #[test]
 fn no_copies_are_made_while_engines_as_a_whole_are_full() {
     let targets = names(0..6);
@@ -202,7 +213,7 @@
     let copies = |world: &mut World| {
         let near = BTreeSet::new();
         let request = id::Request::new(1);
-        world.gate.refuges(world.now, &mut world.rng, request, &near, Some(0.65))
+        world.gate.migration_targets(world.now, &mut world.rng, request, &near, Some(0.65))
     };
     assert!(!copies(&mut world).is_empty(), "there is room everywhere");
     let others: Vec<id::Target> = targets.iter().filter(|t| **t != own).cloned().collect();
--- a/crates/policy/tests/newcomer.rs
+++ b/crates/policy/tests/newcomer.rs
@@ -1,5 +1,4 @@
-//! Pattern `newcomers`: engines come while all others are full, and every entry has requests that
-//! wait for room.
+//! Engines join while all others are full, and every entry has queued requests.
 
 use std::time::Duration;
 
@@ -12,23 +11,24 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Entries that carry the traffic of the larger new deployment.
+/// Entries that carry the traffic of the larger deployment.
 const ENTRIES: usize = 6;
 
-/// Engines that come together there.
+/// Engines that join at the same time there.
 const ENGINES: usize = 10;
 
-/// Requests that wait at each entry: half a second of its share of the traffic.
+/// Requests queued at each entry: half a second of its share of the traffic.
 const WAITING: u128 = 8;
 
 /// Tokens of an engine's memory there, and of a prompt.
 const MEMORY: u64 = 21_874;
 const PROMPT: u64 = 3_000;
 
-/// How often an entry looks at what waits, and how old its view of the others' sends is.
+/// Interval at which an entry polls its queue, and age of its view of what the others have sent.
 const POLL: Duration = Duration::from_millis(20);
 
-/// How long the entries go on before the prompts at each engine are counted: none is read yet.
+/// How long the entries send before the prompts at each engine are counted; none has been computed
+/// by then.
 const RUSH: Duration = Duration::from_millis(200);
 
 fn names(prefix: &str, count: usize) -> Vec<String> {
@@ -50,7 +50,7 @@
     }
 }
 
-/// The most prompts that wait at one of the engines 0.2 s after all came at once.
+/// Returns the most prompts that wait at one of the engines 0.2 s after all have joined.
 fn most_waiting(newcomers: bool, ahead: bool) -> usize {
     let mut rng = SmallRng::seed_from_u64(7);
     let hosts: Vec<id::Host> =
@@ -74,7 +74,7 @@
         .collect();
     for (entry, gate) in gates.iter_mut().enumerate() {
         for request in 0..WAITING {
-            // Nothing takes requests yet, so they wait; a stand-in for engines that are full.
+            // The only engine is full, so the requests are queued.
             gate.set_targets(Time::ZERO, vec!["full".parse().expect("a name")]);
             let full = Report {
                 capacity: Tokens::new(MEMORY),
@@ -118,10 +118,10 @@
     (0..ENGINES).map(|at| waiting(at) as usize).max().unwrap_or_default()
 }
 
-/// An answer begins four seconds late at an engine that had just come and was empty: every entry
-/// sent all that it had waiting there in the same moment, and the engine reads one prompt after the
-/// other. With turns, and a bound on what waits to be read, what can't begin soon waits at the
-/// entry, where it may still go elsewhere.
+/// Guards against every entry sending all that it has queued to an empty engine in the same moment.
+/// The engine computes one prompt after the other, so the last answer begins four seconds late.
+/// With staggered starts and a bound on the prompts that wait there, requests that cannot begin
+/// soon stay queued at the entry, which may send them to another engine.
 #[test]
 fn newcomers_are_not_rushed() {
     let rushed = most_waiting(false, false);
@@ -130,15 +130,15 @@
     assert!(bounded <= 2, "{bounded} of {rushed}");
 }
 
-/// The bound alone holds nobody back who has not heard of the others yet.
+/// The bound alone does not hold back entries that have not yet learned what the others sent.
 #[test]
 fn the_bound_on_reading_needs_the_turns() {
     let alone = most_waiting(false, true);
     assert!(alone > 2, "{alone}");
 }
 
-/// An entry that comes late in the order of every engine still gets to send: the last turn comes
-/// within a second, however many entries there are.
+/// Guards against starvation of the last entry in the order: it may send within a second, however
+/// many entries there are.
 #[test]
 fn every_entry_has_its_turn_within_a_second() {
     let hosts: Vec<id::Host> =
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement under a hot prefix, lagging load figures and ejected targets.
+//! Placement with a hot prefix, lagging load figures and ejected targets.
 
 use fireflyhoist_policy::placement::{CHOICES_LAGGED, Candidate, NO_PREFIX, choose, prefix};
 use rand::{Rng, SeedableRng};
@@ -14,8 +14,8 @@
         .collect()
 }
 
-/// Members upload pages of one archive; each page's prompt begins alike. The pages meet at one
-/// engine whose cache holds that beginning, instead of being computed again at every engine.
+/// Guards against a shared prefix being computed at every engine: requests with the same prefix go
+/// to the one engine that has it in its cache.
 #[test]
 fn a_prefix_keeps_its_home_while_there_is_room() {
     let candidates = fleet(12);
@@ -24,8 +24,8 @@
     assert!((0..50).all(|_| choose(&mut rng, 77, &candidates, CHOICES_LAGGED) == home));
 }
 
-/// Every franchise sends the same roster form at seven in the morning. Its home engine fills up
-/// while others idle, and supervisors watch a stalled roster: affinity without a bound.
+/// Guards against affinity without a bound: if many callers send the same prefix at once, its home
+/// engine fills up while others are idle.
 #[test]
 fn a_hot_prefix_leaves_a_home_that_is_loaded_beyond_the_bound() {
     let mut candidates = fleet(12);
@@ -38,8 +38,8 @@
     assert!(most < 0.2, "the home carries {most} of which an even spread would be 0.1");
 }
 
-/// Reports are late, so that for a while every decision sees one engine empty. Sending to the
-/// least loaded piles the whole burst there; callers of that burst wait behind one another.
+/// Reports lag, so that for a while every decision sees one engine empty. If all requests went to
+/// the least loaded engine, a whole burst would queue there.
 #[test]
 fn a_burst_on_stale_figures_does_not_herd() {
     let mut candidates = fleet(12);
@@ -51,8 +51,8 @@
     assert!(sent < 250, "{sent} of 1000 went to the one that looked empty");
 }
 
-/// An engine that was ejected, or has just come back with a cold cache, receives nothing, or
-/// little, although it looks idle.
+/// An engine that is ejected, or has just returned from ejection with a cold cache, gets nothing or
+/// little although its load is lowest.
 #[test]
 fn a_weight_keeps_an_idle_target_from_its_full_share() {
     let mut candidates = fleet(4);
@@ -78,8 +78,8 @@
     );
 }
 
-/// Pages of one archive differ only after their common instructions; each must count as the same
-/// beginning, or every page would go to a cold cache.
+/// Pages of one archive differ only after their common instructions; they must share a prefix, or
+/// each would go to an engine that has not cached it.
 #[test]
 fn prompts_that_begin_alike_share_a_prefix() {
     let instructions = "Transcribe the manifest line by line. ".repeat(10);
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Who goes next.
+//! The order in which queued requests are served.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     Item { ask, work }
 }
 
-/// Takes the next item as the gate does: charged when sent.
+/// Takes the next item as the gate does, and charges its work when it is sent.
 fn next(queue: &mut Queue) -> Option<Item> {
     let (class, workspace) = queue.turns().into_iter().next()?;
     let item = queue.pop(Time::ZERO, class, &workspace)?;
@@ -33,8 +33,8 @@
     Some(item)
 }
 
-/// A hot caller puts a thousand requests into the line, then another workspace asks for one. In
-/// order of arrival it would be the last; in fair turns it is among the first.
+/// A hot workspace queues a thousand requests before another workspace queues one. In order of
+/// arrival that one would be served last; with fair queueing it is among the first.
 #[test]
 fn one_request_does_not_wait_behind_a_hot_callers_thousand() {
     let mut queue = Queue::open(true);
@@ -45,7 +45,7 @@
     assert!(place.expect("it is served") <= 1, "served as number {place:?}");
 }
 
-/// Overnight pages wait while live requests go on arriving; one turn in eight is theirs.
+/// Overnight requests wait while live ones keep arriving; they get one turn in eight.
 #[test]
 fn the_lowest_class_is_not_starved() {
     let mut queue = Queue::open(true);
@@ -61,8 +61,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Two workspaces that both wait have received, at any moment, work that differs by no more
-    /// than the largest single request of either.
+    /// While two workspaces are both backlogged, the work that they have received differs at any
+    /// time by no more than the largest request of either.
     #[test]
     fn waiting_workspaces_receive_alike(
         one in prop::collection::vec(1.0_f64..500.0, 20..60),
--- a/crates/policy/tests/share.rs
+++ b/crates/policy/tests/share.rs
@@ -9,16 +9,16 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// A partition splits the entries; either side divides by the list that was published, so what
-    /// both sides take of one engine together stays within the whole.
+    /// During a network partition both sides divide by the length of the published list, so that
+    /// the shares of both together stay within the whole engine.
     #[test]
     fn shares_never_sum_above_one(entries in 1_usize..400, at in 0_usize..1_000) {
         let sum: f64 = (0..entries).map(|own| part(at, Some(own), entries)).sum();
         prop_assert!(sum <= 1.0 + 1e-9, "{sum}");
     }
 
-    /// Lists follow one another at any pace; an entry's share never passes what its latest list
-    /// gives it.
+    /// However quickly lists follow one another, the share of an entry never exceeds what its
+    /// latest list gives it.
     #[test]
     fn a_share_never_passes_its_latest_list(lists in prop::collection::vec((1_usize..20, 0_u64..4_000), 1..20)) {
         let mut share = Share::open(part(0, Some(0), lists[0].0));
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Every entry sends all that it may after one report; the engine's room is not passed.
+    /// If every entry sends all that it may after one report, the free memory in the report is not
+    /// exceeded.
     #[test]
     fn claims_of_all_entries_fit_into_the_reported_room(room in 0.0_f64..1e6, entries in 1_usize..12) {
         let taken: f64 = (0..entries)
