--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -11,8 +11,8 @@
     Ask, Gate, Grounds, Holding, Outcome, Reason, Refusal, Report, Settings, Verdict,
 };
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::retry;
+use fireflyhoist_policy::stagger::Order;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_policy::witness::{self, Observer};
 use parking_lot::Mutex;
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -117,7 +117,7 @@
             if !slot.is_up(now) || Some(&slot.name) == ask.avoid.as_ref() {
                 return None;
             }
-            if settings.newcomers && !slot.arrival.is_turn(now) {
+            if settings.stagger && !slot.stagger.is_over(now) {
                 return None;
             }
             if settings.ahead && !slot.reads_soon(ask.prompt.get(), ordinary) {
--- a/crates/policy/src/gate/settings.rs
+++ b/crates/policy/src/gate/settings.rs
@@ -30,8 +30,8 @@
     /// no home with room.
     pub choices: usize,
     /// Let entries begin to send to a target that has just joined one after another; see
-    /// [`crate::newcomer`].
-    pub newcomers: bool,
+    /// [`crate::stagger`].
+    pub stagger: bool,
     /// Bound the prompt tokens that wait for prefill at a target. Useful only if entries announce
     /// to each other what they send.
     pub ahead: bool,
@@ -60,7 +60,7 @@
             pace: true,
             affinity: true,
             choices: placement::CHOICES_LAGGED,
-            newcomers: true,
+            stagger: true,
             ahead: false,
             late: false,
             outlier: true,
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -9,10 +9,10 @@
 use crate::exclusion::Exclusion;
 use crate::gate::{Gate, RETRY, refuse};
 use crate::id;
-use crate::newcomer::{Arrival, Order};
 use crate::room::Growth;
 use crate::share;
 use crate::slot::Slot;
+use crate::stagger::{Delay, Order};
 use crate::time::Time;
 use crate::unit::Tokens;
 
@@ -50,8 +50,8 @@
             let next = self.slots.len();
             let at = *self.index.entry(target.clone()).or_insert(next);
             if at == next {
-                let arrival = Arrival::at(now, &self.order, &target);
-                self.slots.push(Slot::open(target, arrival));
+                let stagger = Delay::at(now, &self.order, &target);
+                self.slots.push(Slot::open(target, stagger));
             }
             self.slots[at].listed = true;
         }
@@ -64,14 +64,14 @@
     pub fn set_order(&mut self, order: Order) {
         self.order = order;
         for slot in &mut self.slots {
-            slot.arrival = slot.arrival.reordered(&self.order, &slot.name);
+            slot.stagger = slot.stagger.reordered(&self.order, &slot.name);
         }
     }
 
     /// Records that a target has restarted: it is as empty as one that has just joined.
     pub fn restarted(&mut self, now: Time, target: &id::Target) {
         if let Some(at) = self.index.get(target) {
-            self.slots[*at].arrival = Arrival::at(now, &self.order, target);
+            self.slots[*at].stagger = Delay::at(now, &self.order, target);
         }
     }
 
@@ -127,7 +127,7 @@
         for slot in &mut self.slots {
             let before = std::mem::replace(&mut slot.cordoned, cordoned.contains(&slot.name));
             if before && !slot.cordoned {
-                slot.arrival = Arrival::at(now, &self.order, &slot.name);
+                slot.stagger = Delay::at(now, &self.order, &slot.name);
             }
         }
     }
--- a/crates/policy/src/slot.rs
+++ b/crates/policy/src/slot.rs
@@ -4,11 +4,11 @@
 
 use crate::exclusion::Exclusion;
 use crate::id;
-use crate::newcomer::Arrival;
 use crate::pace::Pace;
 use crate::placement;
 use crate::room::Room;
 use crate::share::Share;
+use crate::stagger::Delay;
 use crate::time::Time;
 
 /// How long a target receives nothing after a failure; after that, outlier ejection decides. It
@@ -32,7 +32,7 @@
 /// A prompt that waits inside an engine can neither be taken back, however late it gets, nor be
 /// overtaken by a later one; at the entry both are possible. The bound is a little above two since
 /// one prompt is computed while the next arrives, and since prompt lengths differ by a third.
-/// Together with [`crate::newcomer`] it lowers the long answers of a busy day that begin late from
+/// Together with [`crate::stagger`] it lowers the long answers of a busy day that begin late from
 /// 258 to 157; neither of the two alone raises the mean value of a request.
 const AHEAD: f64 = 2.25;
 
@@ -61,7 +61,7 @@
     /// The gate's count of sends at the last send to this target.
     pub(crate) turn: u64,
     /// Delay before this entry sends to it after it has joined.
-    pub(crate) arrival: Arrival,
+    pub(crate) stagger: Delay,
     paused: Time,
     /// Until when it receives nothing more from this entry.
     closed: Time,
@@ -70,7 +70,7 @@
 }
 
 impl Slot {
-    pub(crate) fn open(name: id::Target, arrival: Arrival) -> Self {
+    pub(crate) fn open(name: id::Target, stagger: Delay) -> Self {
         let key = placement::key(&name);
         Self {
             name,
@@ -85,7 +85,7 @@
             unread: 0,
             others_unread: 0,
             turn: 0,
-            arrival,
+            stagger,
             paused: Time::ZERO,
             closed: Time::ZERO,
             closed_for: Exclusion::Limited,
--- a/crates/policy/src/newcomer.rs
+++ b/crates/policy/src/stagger.rs
@@ -23,11 +23,11 @@
 /// Time between the starts of two entries. What an entry sends is announced to the others within 15
 /// ms and the network delay, and the prefill of one prompt takes four times as long as this
 /// interval, so the engine is not idle meanwhile.
-const TURN: Duration = Duration::from_millis(50);
+const INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest delay of an entry, however many entries there are, so that an engine does not stay empty
 /// if none of the earlier entries has requests for it.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_DELAY: Duration = Duration::from_secs(1);
 
 /// The entries that send, and which of them this one is. The default has no delays.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -43,32 +43,32 @@
     }
 
     /// How long after an engine has joined this entry leaves it to the others.
-    pub(crate) fn pause(&self, engine: &id::Target) -> Duration {
+    pub(crate) fn delay(&self, engine: &id::Target) -> Duration {
         let Some(own) = &self.own else { return Duration::ZERO };
         let ranked = rendezvous::rank(engine.as_str(), &self.entries, |host| host.as_str());
-        let before = ranked.iter().position(|host| *host == own).unwrap_or(ranked.len());
-        (TURN * u32::try_from(before).unwrap_or(u32::MAX)).min(LONGEST)
+        let position = ranked.iter().position(|host| *host == own).unwrap_or(ranked.len());
+        (INTERVAL * u32::try_from(position).unwrap_or(u32::MAX)).min(MAX_DELAY)
     }
 }
 
 /// When this entry may begin to send to an engine that has joined.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Arrival {
-    came: Time,
-    from: Time,
+pub(crate) struct Delay {
+    joined: Time,
+    until: Time,
 }
 
-impl Arrival {
-    pub(crate) fn at(came: Time, order: &Order, engine: &id::Target) -> Self {
-        Self { came, from: came + order.pause(engine) }
+impl Delay {
+    pub(crate) fn at(joined: Time, order: &Order, engine: &id::Target) -> Self {
+        Self { joined, until: joined + order.delay(engine) }
     }
 
     /// Recomputes the delay for another order of entries.
     pub(crate) fn reordered(self, order: &Order, engine: &id::Target) -> Self {
-        Self::at(self.came, order, engine)
+        Self::at(self.joined, order, engine)
     }
 
-    pub(crate) fn is_turn(&self, now: Time) -> bool {
-        now >= self.from
+    pub(crate) fn is_over(&self, now: Time) -> bool {
+        now >= self.until
     }
 }
--- a/crates/policy/tests/cordoned.rs
+++ b/crates/policy/tests/cordoned.rs
@@ -6,7 +6,7 @@
 use fireflyhoist_policy::exclusion::Exclusion;
 use fireflyhoist_policy::gate::{Ask, Class, Gate, Outcome, Reason, Report, Settings, Verdict};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::newcomer::Order;
+use fireflyhoist_policy::stagger::Order;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
 use rand::rngs::SmallRng;
--- a/crates/policy/tests/newcomer.rs
+++ b/crates/policy/tests/stagger.rs
@@ -4,8 +4,8 @@
 
 use fireflyhoist_policy::gate::{Ask, Class, Gate, Report, Settings, Verdict};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::placement::CHOICES_FRESH;
+use fireflyhoist_policy::stagger::Order;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
 use rand::SeedableRng;
@@ -51,19 +51,14 @@
 }
 
 /// Returns the most prompts that wait at one of the engines 0.2 s after all have joined.
-fn most_waiting(newcomers: bool, ahead: bool) -> usize {
+fn most_waiting(stagger: bool, ahead: bool) -> usize {
     let mut rng = SmallRng::seed_from_u64(7);
     let hosts: Vec<id::Host> =
         names("entry", ENTRIES).iter().map(|n| n.parse().expect("a name")).collect();
     let engines: Vec<id::Target> =
         names("e", ENGINES).iter().map(|n| n.parse().expect("a name")).collect();
-    let settings = || Settings {
-        share: false,
-        choices: CHOICES_FRESH,
-        newcomers,
-        ahead,
-        ..Settings::default()
-    };
+    let settings =
+        || Settings { share: false, choices: CHOICES_FRESH, stagger, ahead, ..Settings::default() };
     let mut gates: Vec<Gate> = hosts
         .iter()
         .map(|host| {
