--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -226,7 +226,7 @@
             charge_all: true,
             choices: placement::CHOICES_FRESH,
             ahead: true,
-            late: true,
+            shed_late: true,
             retries,
             ..gate::Settings::default()
         }
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -20,12 +20,12 @@
 use crate::curve::Curve;
 use crate::drain::Drain;
 use crate::id;
-use crate::late;
 use crate::length::{Book, Mark};
 use crate::outlier::{Detector, Ejection, Sample};
 use crate::placement::Candidate;
 use crate::queue::{BOUND, Item, Queue};
 use crate::retry;
+use crate::shedding;
 use crate::slot::Slot;
 use crate::stagger::Order;
 use crate::time::Time;
@@ -124,7 +124,7 @@
 impl Gate {
     /// Creates a gate without targets.
     pub fn open(settings: Settings) -> Self {
-        let queue = Queue::open(settings.fair).with_spare_last(settings.late);
+        let queue = Queue::open(settings.fair).with_spare_last(settings.shed_late);
         let retries = retry::Budget::of(settings.retries);
         Self {
             settings,
@@ -203,7 +203,7 @@
 
     /// Returns the request, moved to [`Class::Spare`] if it can no longer begin by its objective.
     fn classed(&self, now: Time, ask: Ask) -> Ask {
-        let late = self.settings.late && ask.objective < now + START;
+        let late = self.settings.shed_late && ask.objective < now + START;
         let class = if late { Class::Spare } else { ask.class };
         Ask { class, ..ask }
     }
@@ -333,9 +333,9 @@
         while let Some((request, verdict)) = self.serve_next(now, rng) {
             decided.push((request, verdict));
         }
-        if self.settings.late {
-            for item in self.queue.outstayed(now, START, late::LINGER) {
-                let retry_after = late::come_back(rng);
+        if self.settings.shed_late {
+            for item in self.queue.shed(now, START, shedding::MAX_WAIT) {
+                let retry_after = shedding::retry_after(rng);
                 let refusal = Refusal { reason: Reason::Late, retry_after };
                 decided.push((item.ask.request, Verdict::Refuse(refusal)));
             }
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -8,8 +8,8 @@
 use crate::curve::Curve;
 use crate::gate::Gate;
 use crate::id;
-use crate::late;
 use crate::placement::{self, Candidate};
+use crate::shedding;
 use crate::slot::Slot;
 use crate::time::Time;
 
@@ -109,7 +109,7 @@
         let live = ask.class == Class::Live;
         let reserve = match ask.class {
             Class::Live if settings.reserve => RESERVE * self.weight_above(&ask.workspace),
-            Class::Spare if settings.late => late::RESERVE,
+            Class::Spare if settings.shed_late => shedding::RESERVE,
             _ => 0.0,
         };
         let live = settings.pace && live;
--- a/crates/policy/src/gate/settings.rs
+++ b/crates/policy/src/gate/settings.rs
@@ -36,8 +36,8 @@
     /// to each other what they send.
     pub ahead: bool,
     /// Let requests that are past their objective use only spare capacity, and shed those that find
-    /// none; see [`crate::late`].
-    pub late: bool,
+    /// none; see [`crate::shedding`].
+    pub shed_late: bool,
     /// Eject slow and failing targets.
     pub outlier: bool,
     /// Charge retries of overnight generations to the retry budget as well, for operators who bound
@@ -62,7 +62,7 @@
             choices: placement::CHOICES_LAGGED,
             stagger: true,
             ahead: false,
-            late: false,
+            shed_late: false,
             outlier: true,
             charge_all: false,
             retries: retry::Terms::default(),
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -80,7 +80,7 @@
         Self { fair, ..Self::default() }
     }
 
-    /// Serves [`Class::Spare`] only when no other class waits; see [`crate::late`].
+    /// Serves [`Class::Spare`] only when no other class waits; see [`crate::shedding`].
     pub fn with_spare_last(self, is_spare_last: bool) -> Self {
         Self { is_spare_last, ..self }
     }
@@ -255,19 +255,22 @@
         }
     }
 
-    /// Removes and returns requests of [`Class::Spare`] that became late more than `linger` ago,
+    /// Removes and returns requests of [`Class::Spare`] that became late more than `max_wait` ago,
     /// where a request is late from `lead` before its objective. Those that were late on arrival
     /// wait until their deadline.
-    pub fn outstayed(&mut self, now: Time, lead: Duration, linger: Duration) -> Vec<Item> {
+    pub fn shed(&mut self, now: Time, lead: Duration, max_wait: Duration) -> Vec<Item> {
         let spare = self.classes.get(&Class::Spare).into_iter().flat_map(BTreeMap::values);
-        let over = |item: &&Item| {
+        let expired = |item: &&Item| {
             let place = self.places.get(&item.ask.request);
             let came_late = place.is_some_and(|p| item.ask.objective < p.since + lead);
-            !came_late && item.ask.objective + linger < now + lead
+            !came_late && item.ask.objective + max_wait < now + lead
         };
-        let over: Vec<id::Request> =
-            spare.flat_map(|flow| &flow.items).filter(over).map(|item| item.ask.request).collect();
-        over.into_iter().filter_map(|request| self.remove(request)).collect()
+        let expired: Vec<id::Request> = spare
+            .flat_map(|flow| &flow.items)
+            .filter(expired)
+            .map(|item| item.ask.request)
+            .collect();
+        expired.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
     /// Removes and returns all requests.
--- a/crates/policy/src/late.rs
+++ b/crates/policy/src/shedding.rs
@@ -27,13 +27,13 @@
 /// How long a late request waits for room before it is refused. Room becomes free within tenths of
 /// a second or not for seconds: with 4 s the mean value was the same within noise, and callers
 /// learned of the refusal later.
-pub(crate) const LINGER: Duration = Duration::from_millis(300);
+pub(crate) const MAX_WAIT: Duration = Duration::from_millis(300);
 
 /// Shortest retry delay: reclaimed engines are replaced after four to six seconds. The delay is
 /// spread by up to half, so that requests that are refused together do not return together.
-const AWAY: Duration = Duration::from_secs(5);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Returns the retry delay of a request that is refused because it is late.
-pub(crate) fn come_back(rng: &mut impl Rng) -> Duration {
-    AWAY.mul_f64(rng.random_range(1.0..1.5))
+pub(crate) fn retry_after(rng: &mut impl Rng) -> Duration {
+    MIN_RETRY_AFTER.mul_f64(rng.random_range(1.0..1.5))
 }
--- a/crates/policy/tests/cordoned.rs
+++ b/crates/policy/tests/cordoned.rs
@@ -45,7 +45,7 @@
         charge_all: true,
         choices: 6,
         ahead: true,
-        late: true,
+        shed_late: true,
         ..Settings::default()
     };
     let mut gate = Gate::open(settings);
--- a/crates/policy/tests/late.rs
+++ b/crates/policy/tests/shedding.rs
@@ -47,8 +47,9 @@
     }
 }
 
-fn gate(late: bool, engines: usize) -> Gate {
-    let settings = Settings { share: false, fair: false, choices: 6, late, ..Settings::default() };
+fn gate(shed_late: bool, engines: usize) -> Gate {
+    let settings =
+        Settings { share: false, fair: false, choices: 6, shed_late, ..Settings::default() };
     let mut gate = Gate::open(settings);
     gate.set_targets(Time::ZERO, (0..engines).map(engine).collect());
     (0..engines).for_each(|n| hold(&mut gate, n, Time::ZERO, 0.0));
@@ -65,7 +66,7 @@
 
 /// Counts of requests by outcome.
 #[derive(Debug, Default)]
-struct Day {
+struct Counts {
     asked: u32,
     on_time: u32,
     late: u32,
@@ -74,13 +75,13 @@
 
 /// Simulates a minute in which a fifth more is requested than nine engines hold; answers take eight
 /// seconds.
-fn overloaded(late: bool) -> Day {
+fn overloaded(shed_late: bool) -> Counts {
     const RUN: Duration = Duration::from_secs(8);
     // Seven answers fit into an engine, so nine engines complete 7.9 a second.
     const ASKED: f64 = 9.4;
     let (mut rng, mut arrivals) = (SmallRng::seed_from_u64(3), SmallRng::seed_from_u64(5));
-    let mut gate = gate(late, ENGINES);
-    let mut day = Day::default();
+    let mut gate = gate(shed_late, ENGINES);
+    let mut counts = Counts::default();
     let mut running: Vec<(Time, id::Request)> = Vec::new();
     let mut wanted: Vec<Time> = Vec::new();
     let mut now = Time::ZERO;
@@ -92,7 +93,7 @@
         if arrivals.random_bool(ASKED * POLL.as_secs_f64()) {
             let request = id::Request::new(wanted.len() as u128);
             wanted.push(now);
-            day.asked += 1;
+            counts.asked += 1;
             decided.push((
                 request,
                 gate.offer(now, &mut rng, ask(wanted.len() as u128 - 1, now, now)),
@@ -101,9 +102,9 @@
         for (request, verdict) in decided {
             let number = usize::try_from(request.get()).expect("a small number");
             match verdict {
-                Verdict::Send(_) if now.since(wanted[number]) <= OBJECTIVE => day.on_time += 1,
-                Verdict::Send(_) => day.late += 1,
-                Verdict::Refuse(_) => day.refused += 1,
+                Verdict::Send(_) if now.since(wanted[number]) <= OBJECTIVE => counts.on_time += 1,
+                Verdict::Send(_) => counts.late += 1,
+                Verdict::Refuse(_) => counts.refused += 1,
                 Verdict::Wait => {}
             }
             if matches!(verdict, Verdict::Send(_)) {
@@ -113,7 +114,7 @@
         }
         now = now + POLL;
     }
-    day
+    counts
 }
 
 /// Guards against a third of the answers beginning late, although one in six would have to: late
@@ -121,7 +122,7 @@
 #[test]
 fn the_room_goes_to_those_that_can_still_be_on_time() {
     let (before, after) = (overloaded(false), overloaded(true));
-    let part = |day: &Day| f64::from(day.on_time) / f64::from(day.asked);
+    let part = |counts: &Counts| f64::from(counts.on_time) / f64::from(counts.asked);
     assert!(part(&after) > part(&before) + 0.05, "{after:?} {before:?}");
     assert!(after.late < before.late / 2, "{after:?} {before:?}");
 }
