--- a/crates/bench/tests/stories.rs
+++ b/crates/bench/tests/stories.rs
@@ -30,7 +30,7 @@
 fn overload_begins_no_more_than_will_fit() {
     let scene = scene("brno-night", 60);
     let with = row(&scene, &Settings::default());
-    let without = row(&scene, &Settings { room: false, ..Settings::default() });
+    let without = row(&scene, &Settings { memory: false, ..Settings::default() });
     assert!(with.preempt * 10 <= without.preempt, "{} of {}", with.preempt, without.preempt);
     assert!(with.stall_s * 4.0 <= without.stall_s, "{} of {}", with.stall_s, without.stall_s);
 }
--- a/crates/policy/src/gate/migration.rs
+++ b/crates/policy/src/gate/migration.rs
@@ -64,11 +64,11 @@
 impl Gate {
     /// Returns what the running answers of this entry hold at each target where it has any.
     pub fn holdings(&self) -> impl Iterator<Item = Holding> {
-        let busy = self.slots.iter().filter(|slot| slot.room.streams() > 0);
+        let busy = self.slots.iter().filter(|slot| slot.memory.streams() > 0);
         busy.map(|slot| Holding {
             target: slot.name.clone(),
-            tokens: Tokens::new(slot.room.holdings().0 as u64),
-            streams: slot.room.streams(),
+            tokens: Tokens::new(slot.memory.held().0 as u64),
+            streams: slot.memory.streams(),
             unread: Tokens::new(slot.unread),
         })
     }
@@ -77,7 +77,7 @@
     pub fn has_spare_capacity(&self) -> bool {
         let listed = self.slots.iter().filter(|slot| slot.is_open());
         let (count, load) =
-            listed.fold((0.0, 0.0), |(count, load), slot| (count + 1.0, load + slot.room.load()));
+            listed.fold((0.0, 0.0), |(count, load), slot| (count + 1.0, load + slot.memory.load()));
         load < MAX_MEAN_LOAD * count
     }
 
@@ -120,16 +120,16 @@
                 continue;
             }
             if let Some(reserve) = reserve {
-                let claim = slot.room.claim(now, class, 1.0, 1.0, reserve);
+                let claim = slot.memory.claim(now, class, 1.0, 1.0, reserve);
                 // `fits` accepts any answer on an engine without answers, but that engine may be
                 // full of copies.
-                if slot.room.load() > 1.0 - reserve || !slot.room.fits(class, &claim, &curve) {
+                if slot.memory.load() > 1.0 - reserve || !slot.memory.fits(class, &claim, &curve) {
                     continue;
                 }
             }
-            let cost = (slot.room.load() + BASE_LOAD) * rng.random_range(0.0..1.0);
-            let load = slot.room.load();
-            let rank = match slot.room.load_with(&curve) > 1.0 {
+            let cost = (slot.memory.load() + BASE_LOAD) * rng.random_range(0.0..1.0);
+            let load = slot.memory.load();
+            let rank = match slot.memory.load_with(&curve) > 1.0 {
                 true => Rank::Full,
                 false if load <= NEARLY_FULL && near.contains(&slot.name) => Rank::Near,
                 false => Rank::Far,
@@ -147,7 +147,7 @@
         let from = std::mem::replace(&mut running.slot, to);
         let curve = running.curve;
         let unstarted = running.first.is_none();
-        self.slots[from].room.free(now, &curve);
+        self.slots[from].memory.remove(now, &curve);
         if unstarted {
             let prompt = running.ask.prompt.get();
             self.slots[from].begun(prompt);
@@ -157,7 +157,7 @@
         if let Some(running) = self.running.get_mut(&request) {
             running.judged = (running.produced, now);
         }
-        self.slots[to].room.send(now, &curve);
+        self.slots[to].memory.add(now, &curve);
     }
 
     /// Removes targets that are neither listed nor in use.
@@ -168,7 +168,7 @@
         let mut moved: Vec<Option<usize>> = Vec::with_capacity(self.slots.len());
         let mut kept = Vec::with_capacity(self.slots.len());
         for slot in self.slots.drain(..) {
-            let keep = slot.listed || slot.room.streams() > 0;
+            let keep = slot.listed || slot.memory.streams() > 0;
             moved.push(keep.then_some(kept.len()));
             if keep {
                 kept.push(slot);
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -98,7 +98,7 @@
     /// Sum of the curves of all running answers.
     all: Curve,
     /// Curve of the request sent last, which stands for an average new request.
-    fresh: Curve,
+    typical: Curve,
     detector: Detector,
     retries: retry::Budget,
     weighed: Time,
@@ -137,7 +137,7 @@
             book: Book::open(),
             usage: Usage::default(),
             all: Curve::default(),
-            fresh: Curve::default(),
+            typical: Curve::default(),
             detector: Detector::open(),
             retries,
             weighed: Time::ZERO,
@@ -238,7 +238,7 @@
                 self.detector.answered(now, &slot.name);
             }
             Some(_) => {
-                slot.pace.sample(now, gap, slot.room.all_streams(), self.settings.between);
+                slot.pace.sample(now, gap, slot.memory.all_streams(), self.settings.between);
                 let (from, since) = running.judged;
                 if produced >= from + JUDGED {
                     running.judged = (produced, now);
@@ -261,7 +261,7 @@
         let new = self.curve(&running.ask, running.produced);
         let Some(running) = self.running.get_mut(&request) else { return };
         let old = std::mem::replace(&mut running.curve, new);
-        self.slots[running.slot].room.update(now, &old, &new);
+        self.slots[running.slot].memory.replace(now, &old, &new);
         self.all.remove(&old);
         self.all.add(&new);
         self.usage.add(&running.ask.workspace, f64::from(new.now() - old.now()));
@@ -283,7 +283,7 @@
         };
         let workspace = &running.ask.workspace;
         let slot = &mut self.slots[running.slot];
-        slot.room.free(now, &running.curve);
+        slot.memory.remove(now, &running.curve);
         if running.first.is_none() {
             slot.begun(running.ask.prompt.get());
         }
@@ -423,19 +423,19 @@
         self.note_prompt(&ask);
         let slot = &mut self.slots[at];
         let grounds = Grounds {
-            load: slot.room.load(),
-            streams: slot.room.all_streams(),
+            load: slot.memory.load(),
+            streams: slot.memory.all_streams(),
             unread: Tokens::new(slot.waiting()),
-            age: now.since(slot.room.taken()),
+            age: now.since(slot.memory.reported_at()),
             late: ask.class == Class::Spare,
         };
-        slot.room.send(now, &curve);
+        slot.memory.add(now, &curve);
         slot.begins(ask.prompt.get());
         self.sends += 1;
         slot.turn = self.sends;
         let target = slot.name.clone();
         self.all.add(&curve);
-        self.fresh = curve;
+        self.typical = curve;
         self.usage.add(&ask.workspace, f64::from(curve.now()));
         self.queue.charge(&ask.workspace, work);
         let mark = self.book.begin(&ask.workspace);
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -45,7 +45,7 @@
         }
         self.weighed = now;
         let listed = self.slots.iter().filter(|slot| slot.is_open());
-        self.held = listed.map(|slot| slot.room.holdings().1).sum();
+        self.held = listed.map(|slot| slot.memory.held().1).sum();
         if !self.settings.outlier {
             return;
         }
@@ -127,9 +127,10 @@
             if live && (slot.unstarted >= UNSTARTED || !slot.has_pace(now, part)) {
                 return None;
             }
-            let (own, total) = slot.room.holdings();
-            let claim = slot.room.claim(now, ask.class, part, share.kept(now, own, total), reserve);
-            let fits = !settings.room || slot.room.fits(ask.class, &claim, curve);
+            let (own, total) = slot.memory.held();
+            let claim =
+                slot.memory.claim(now, ask.class, part, share.kept(now, own, total), reserve);
+            let fits = !settings.memory || slot.memory.fits(ask.class, &claim, curve);
             fits.then(|| slot.load(sends))
         });
         let worth = settings.affinity && ask.prompt.get() >= AFFINE;
--- a/crates/policy/src/gate/settings.rs
+++ b/crates/policy/src/gate/settings.rs
@@ -11,7 +11,7 @@
     /// Objective for the time between tokens of live generations.
     pub between: Duration,
     /// Send a generation only to targets where its memory is predicted to fit.
-    pub room: bool,
+    pub memory: bool,
     /// Predict the lengths of answers instead of reserving their limits.
     pub length: bool,
     /// Divide the free memory of each target among the entries.
@@ -51,7 +51,7 @@
     fn default() -> Self {
         Self {
             between: Duration::from_millis(57),
-            room: true,
+            memory: true,
             length: true,
             share: true,
             fair: true,
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -9,7 +9,7 @@
 use crate::exclusion::Exclusion;
 use crate::gate::{Gate, RETRY, refuse};
 use crate::id;
-use crate::room::Growth;
+use crate::memory::Growth;
 use crate::share;
 use crate::slot::Slot;
 use crate::stagger::{Delay, Order};
@@ -78,8 +78,8 @@
     /// Applies a load report of a target that was taken `age` ago.
     pub fn report(&mut self, now: Time, target: &id::Target, report: &Report, age: Duration) {
         let Some(at) = self.index.get(target) else { return };
-        let growth = Growth { own: self.all, fresh: self.fresh };
-        self.slots[*at].room.report(now, now - age, report, &growth);
+        let growth = Growth { own: self.all, typical: self.typical };
+        self.slots[*at].memory.apply_report(now, now - age, report, &growth);
         self.largest = self.largest.max(report.capacity.get());
     }
 
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/memory.rs
@@ -24,7 +24,7 @@
 /// avoids preemptions at the cost of throughput: the bench pattern `brno-night` (seed 3) had 236
 /// preemptions at 2.0, 44 at 2.5, 1 at 3.0 and none at 3.5, with a throughput of 0.970, 0.957,
 /// 0.942 and 0.883 of the engines' maximum.
-const SIGMAS: f32 = 3.0;
+const SIGMAS_OVERNIGHT: f32 = 3.0;
 
 /// Standard deviations above the mean that must fit for live answers, whose callers prefer an early
 /// start: the bench patterns `oslo-day`, `lag` and `overload` have hardly a preemption at either
@@ -33,11 +33,11 @@
 
 /// Returns the standard deviations above the mean that must fit for a class.
 fn sigmas(class: Class) -> f32 {
-    if class >= Class::Overnight { SIGMAS } else { SIGMAS_LIVE }
+    if class >= Class::Overnight { SIGMAS_OVERNIGHT } else { SIGMAS_LIVE }
 }
 
 /// Upper bound of the margin, which preemptions raise.
-const MARGIN_MOST: f64 = 0.25;
+const MAX_MARGIN: f64 = 0.25;
 
 /// Increase of the margin for each preemption that a report shows. One misjudged moment causes a
 /// handful of preemptions in one report, which raise the margin by some percent.
@@ -48,18 +48,18 @@
 const MARGIN_DECAY: f64 = 0.1;
 
 /// Streams that may be sent to an engine that has not reported yet.
-const UNREPORTED: u32 = 4;
+const UNREPORTED_STREAMS: u32 = 4;
 
 /// How long the history of this entry's own state is kept. Own holdings at the time of an older
 /// report are taken as zero.
-pub const OLDEST: Duration = Duration::from_secs(15);
+pub const HISTORY: Duration = Duration::from_secs(15);
 
 /// Resolution at which growth is recorded in the history; starts and ends of answers are recorded
 /// exactly.
-const STEP: Duration = Duration::from_millis(100);
+const HISTORY_STEP: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Snapshot {
     at: Time,
     tokens: f32,
     streams: u32,
@@ -67,21 +67,21 @@
 
 /// Tokens added since the time of the latest report.
 #[derive(Clone, Debug, Default)]
-struct Since {
+struct SinceReport {
     list: VecDeque<(Time, f32)>,
     sum: f64,
 }
 
-impl Since {
+impl SinceReport {
     fn add(&mut self, now: Time, tokens: f32) {
         self.list.push_back((now, tokens));
         self.sum += f64::from(tokens);
     }
 
-    fn forget(&mut self, until: Time) {
+    fn drop_until(&mut self, until: Time) {
         while self.list.front().is_some_and(|(at, _)| *at <= until) {
-            let gone = self.list.pop_front().map_or(0.0, |(_, tokens)| tokens);
-            self.sum -= f64::from(gone);
+            let tokens = self.list.pop_front().map_or(0.0, |(_, tokens)| tokens);
+            self.sum -= f64::from(tokens);
         }
         if self.list.is_empty() {
             self.sum = 0.0;
@@ -91,35 +91,35 @@
 
 /// The memory of one engine, as far as this entry knows it.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct Memory {
     capacity: f64,
     margin: f64,
     margin_at: Time,
     preemptions: Option<u64>,
-    taken: Time,
+    reported_at: Time,
     others: Curve,
     others_streams: u32,
-    mine: Curve,
-    streams: u32,
-    sent: Since,
-    freed: Since,
-    history: VecDeque<Held>,
+    own: Curve,
+    own_streams: u32,
+    sent: SinceReport,
+    freed: SinceReport,
+    history: VecDeque<Snapshot>,
 }
 
-impl Default for Room {
+impl Default for Memory {
     fn default() -> Self {
         Self {
             capacity: 0.0,
             margin: MARGIN,
             margin_at: Time::ZERO,
             preemptions: None,
-            taken: Time::ZERO,
+            reported_at: Time::ZERO,
             others: Curve::default(),
             others_streams: 0,
-            mine: Curve::default(),
-            streams: 0,
-            sent: Since::default(),
-            freed: Since::default(),
+            own: Curve::default(),
+            own_streams: 0,
+            sent: SinceReport::default(),
+            freed: SinceReport::default(),
             history: VecDeque::new(),
         }
     }
@@ -131,33 +131,33 @@
     /// Sum of the curves of this entry's own answers, at all targets.
     pub own: Curve,
     /// Curve of an average new answer.
-    pub fresh: Curve,
+    pub typical: Curve,
 }
 
-impl Room {
+impl Memory {
     /// Applies a report that was taken at `taken`; one that is older than the latest is ignored.
-    pub fn report(&mut self, now: Time, taken: Time, report: &Report, growth: &Growth) {
-        if taken < self.taken {
+    pub fn apply_report(&mut self, now: Time, taken: Time, report: &Report, growth: &Growth) {
+        if taken < self.reported_at {
             return;
         }
-        self.taken = taken;
+        self.reported_at = taken;
         self.capacity = report.capacity.get() as f64;
-        let then = self.held_at(taken);
+        let then = self.own_at(taken);
         self.others_streams = (report.running + report.waiting).saturating_sub(then.streams);
         let others = (report.used.get() as f32 - then.tokens).max(0.0);
-        let shape = if growth.own.now() > 0.0 { &growth.own } else { &growth.fresh };
+        let shape = if growth.own.now() > 0.0 { &growth.own } else { &growth.typical };
         self.others = shape.scaled_to(others);
-        let unseen = report.waiting.min(self.others_streams);
-        (0..unseen).for_each(|_| self.others.add(&growth.fresh));
-        self.note_preemptions(now, report.preemptions);
-        self.sent.forget(taken);
-        self.freed.forget(taken);
+        let waiting = report.waiting.min(self.others_streams);
+        (0..waiting).for_each(|_| self.others.add(&growth.typical));
+        self.raise_margin(now, report.preemptions);
+        self.sent.drop_until(taken);
+        self.freed.drop_until(taken);
     }
 
-    fn note_preemptions(&mut self, now: Time, count: u64) {
+    fn raise_margin(&mut self, now: Time, count: u64) {
         let new = count.saturating_sub(self.preemptions.unwrap_or(count));
         self.preemptions = Some(count);
-        self.margin = (self.margin(now) + MARGIN_STEP * new as f64).min(MARGIN_MOST);
+        self.margin = (self.margin(now) + MARGIN_STEP * new as f64).min(MAX_MARGIN);
         self.margin_at = now;
     }
 
@@ -166,48 +166,48 @@
         MARGIN + (self.margin - MARGIN) * (1.0 - MARGIN_DECAY * passed).max(0.0)
     }
 
-    fn held_at(&self, taken: Time) -> Held {
+    fn own_at(&self, taken: Time) -> Snapshot {
         let before = self.history.iter().rev().find(|held| held.at <= taken);
-        before.copied().unwrap_or(Held { at: taken, tokens: 0.0, streams: 0 })
+        before.copied().unwrap_or(Snapshot { at: taken, tokens: 0.0, streams: 0 })
     }
 
-    fn remember(&mut self, now: Time) {
-        let held = Held { at: now, tokens: self.mine.now(), streams: self.streams };
+    fn record_history(&mut self, now: Time) {
+        let held = Snapshot { at: now, tokens: self.own.now(), streams: self.own_streams };
         match self.history.back_mut() {
-            Some(last) if last.streams == held.streams && now.since(last.at) < STEP => {
+            Some(last) if last.streams == held.streams && now.since(last.at) < HISTORY_STEP => {
                 last.tokens = held.tokens;
             }
             _ => self.history.push_back(held),
         }
-        while self.history.front().is_some_and(|held| now.since(held.at) > OLDEST) {
+        while self.history.front().is_some_and(|held| now.since(held.at) > HISTORY) {
             self.history.pop_front();
         }
     }
 
     /// Adds an answer that is sent at `now`.
-    pub fn send(&mut self, now: Time, curve: &Curve) {
-        self.mine.add(curve);
-        self.streams += 1;
+    pub fn add(&mut self, now: Time, curve: &Curve) {
+        self.own.add(curve);
+        self.own_streams += 1;
         self.sent.add(now, curve.peak());
-        self.remember(now);
+        self.record_history(now);
     }
 
     /// Replaces the curve of an answer after it has produced more tokens.
-    pub fn update(&mut self, now: Time, old: &Curve, new: &Curve) {
-        self.mine.remove(old);
-        self.mine.add(new);
-        self.remember(now);
+    pub fn replace(&mut self, now: Time, old: &Curve, new: &Curve) {
+        self.own.remove(old);
+        self.own.add(new);
+        self.record_history(now);
     }
 
     /// Removes an answer that has ended or was migrated.
-    pub fn free(&mut self, now: Time, curve: &Curve) {
-        self.mine.remove(curve);
-        self.streams = self.streams.saturating_sub(1);
-        if self.streams == 0 {
-            self.mine = Curve::default();
+    pub fn remove(&mut self, now: Time, curve: &Curve) {
+        self.own.remove(curve);
+        self.own_streams = self.own_streams.saturating_sub(1);
+        if self.own_streams == 0 {
+            self.own = Curve::default();
         }
         self.freed.add(now, curve.peak());
-        self.remember(now);
+        self.record_history(now);
     }
 
     /// Returns what this entry may still send, with the part `reserve` of the capacity left free.
@@ -215,7 +215,7 @@
     pub fn claim(&self, now: Time, class: Class, share: f64, kept: f64, reserve: f64) -> Claim {
         let sigmas = sigmas(class);
         let limit = self.capacity * (1.0 - self.margin(now) - reserve);
-        let peak = Curve::peak_of([&self.mine, &self.others, &Curve::default()], sigmas);
+        let peak = Curve::peak_of([&self.own, &self.others, &Curve::default()], sigmas);
         let (sent, freed) = (self.sent.sum, self.freed.sum);
         Claim { free: limit - f64::from(peak), sent, freed, share, kept }
     }
@@ -224,7 +224,7 @@
     pub fn fits(&self, class: Class, claim: &Claim, curve: &Curve) -> bool {
         let sigmas = sigmas(class);
         if self.capacity == 0.0 {
-            return self.streams < UNREPORTED;
+            return self.own_streams < UNREPORTED_STREAMS;
         }
         // An idle engine takes any answer: one that is predicted to exceed the whole memory would
         // otherwise wait forever and block its workspace. An engine that holds memory for copies is
@@ -232,48 +232,48 @@
         if self.all_streams() == 0 && self.others.now() <= 0.0 {
             return true;
         }
-        let without = Curve::peak_of([&self.mine, &self.others, &Curve::default()], sigmas);
-        let with = Curve::peak_of([&self.mine, &self.others, curve], sigmas);
+        let without = Curve::peak_of([&self.own, &self.others, &Curve::default()], sigmas);
+        let with = Curve::peak_of([&self.own, &self.others, curve], sigmas);
         f64::from(with - without) <= claim.allowance()
     }
 
     /// Streams of this entry.
     pub fn streams(&self) -> u32 {
-        self.streams
+        self.own_streams
     }
 
     /// Streams of all entries, as far as this one knows.
     pub fn all_streams(&self) -> u32 {
-        self.streams + self.others_streams
+        self.own_streams + self.others_streams
     }
 
     /// Memory in use, as a part of the capacity; before the first report the number of streams of
     /// this entry.
     pub fn load(&self) -> f64 {
-        let held = f64::from(self.mine.now() + self.others.now());
-        if self.capacity > 0.0 { held / self.capacity } else { f64::from(self.streams) }
+        let held = f64::from(self.own.now() + self.others.now());
+        if self.capacity > 0.0 { held / self.capacity } else { f64::from(self.own_streams) }
     }
 
     /// Memory in use with one more answer, as a part of the capacity; infinite before the first
     /// report.
     pub fn load_with(&self, curve: &Curve) -> f64 {
-        let held = f64::from(self.mine.now() + self.others.now() + curve.now());
+        let held = f64::from(self.own.now() + self.others.now() + curve.now());
         if self.capacity > 0.0 { held / self.capacity } else { f64::INFINITY }
     }
 
     /// When the latest report was taken.
-    pub fn taken(&self) -> Time {
-        self.taken
+    pub fn reported_at(&self) -> Time {
+        self.reported_at
     }
 
     /// Sum of the curves of this entry's answers here.
-    pub fn mine(&self) -> &Curve {
-        &self.mine
+    pub fn own(&self) -> &Curve {
+        &self.own
     }
 
     /// Tokens held by this entry and by all entries, as far as this one knows.
-    pub fn holdings(&self) -> (f64, f64) {
-        let own = f64::from(self.mine.now());
+    pub fn held(&self) -> (f64, f64) {
+        let own = f64::from(self.own.now());
         (own, own + f64::from(self.others.now()))
     }
 }
--- a/crates/policy/src/slot.rs
+++ b/crates/policy/src/slot.rs
@@ -4,9 +4,9 @@
 
 use crate::exclusion::Exclusion;
 use crate::id;
+use crate::memory::Memory;
 use crate::pace::Pace;
 use crate::placement;
-use crate::room::Room;
 use crate::share::Share;
 use crate::stagger::Delay;
 use crate::time::Time;
@@ -50,7 +50,7 @@
     pub(crate) cordoned: bool,
     pub(crate) weight: f64,
     pub(crate) share: Share,
-    pub(crate) room: Room,
+    pub(crate) memory: Memory,
     pub(crate) pace: Pace,
     /// Streams that have not produced their first token.
     pub(crate) unstarted: u32,
@@ -79,7 +79,7 @@
             cordoned: false,
             weight: 1.0,
             share: Share::default(),
-            room: Room::default(),
+            memory: Memory::default(),
             pace: Pace::default(),
             unstarted: 0,
             unread: 0,
@@ -139,7 +139,7 @@
     /// it works.
     pub(crate) fn load(&self, sends: u64) -> f64 {
         let unread = self.waiting() as f64 / READ;
-        self.room.load() + unread + TRACE * self.turn as f64 / sends.max(1) as f64
+        self.memory.load() + unread + TRACE * self.turn as f64 / sends.max(1) as f64
     }
 
     /// Why it may receive nothing now; `None` if it may.
@@ -176,15 +176,15 @@
     /// would attract all requests at once, however slow it still is, so its streams are bounded
     /// until it has its full weight.
     fn is_trusted(&self) -> bool {
-        let bound = f64::from(self.room.streams()) < self.weight * RETURNING;
+        let bound = f64::from(self.memory.streams()) < self.weight * RETURNING;
         self.weight >= 1.0 || bound
     }
 
     /// Whether the bound on streams allows one more stream of this entry.
     pub(crate) fn has_pace(&self, now: Time, share: f64) -> bool {
         let bound = self.pace.bound(now);
-        let all = f64::from(self.room.all_streams());
-        let own = f64::from(self.room.streams());
+        let all = f64::from(self.memory.all_streams());
+        let own = f64::from(self.memory.streams());
         // An entry below its share of the bound may always send.
         all < bound || own < bound * share
     }
