--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -197,9 +197,9 @@
         Some(format_smolstr!("{}; tried again in {left} s", ejection.cause))
     }
 
-    /// Sends nothing more to a target for some time; see [`Gate::close`].
+    /// Sends nothing more to a target for some time; see [`Gate::suspend`].
     pub fn close_target(&self, target: &id::Target, wait: Duration, why: Exclusion) {
-        self.state.lock().gate.close(self.clock.now(), target, wait, why);
+        self.state.lock().gate.suspend(self.clock.now(), target, wait, why);
     }
 
     /// Whether targets have room to take over what others hold; see [`Gate::has_spare_capacity`].
--- a/crates/policy/src/gate/migration.rs
+++ b/crates/policy/src/gate/migration.rs
@@ -64,20 +64,20 @@
 impl Gate {
     /// Returns what the running answers of this entry hold at each target where it has any.
     pub fn holdings(&self) -> impl Iterator<Item = Holding> {
-        let busy = self.slots.iter().filter(|slot| slot.memory.streams() > 0);
-        busy.map(|slot| Holding {
-            target: slot.name.clone(),
-            tokens: Tokens::new(slot.memory.held().0 as u64),
-            streams: slot.memory.streams(),
-            unread: Tokens::new(slot.unread),
+        let busy = self.targets.iter().filter(|state| state.memory.streams() > 0);
+        busy.map(|state| Holding {
+            target: state.name.clone(),
+            tokens: Tokens::new(state.memory.held().0 as u64),
+            streams: state.memory.streams(),
+            unread: Tokens::new(state.unread),
         })
     }
 
     /// Whether the targets as a whole have room for the answers of targets that leave.
     pub fn has_spare_capacity(&self) -> bool {
-        let listed = self.slots.iter().filter(|slot| slot.is_open());
-        let (count, load) =
-            listed.fold((0.0, 0.0), |(count, load), slot| (count + 1.0, load + slot.memory.load()));
+        let listed = self.targets.iter().filter(|state| state.is_in_service());
+        let (count, load) = listed
+            .fold((0.0, 0.0), |(count, load), state| (count + 1.0, load + state.memory.load()));
         load < MAX_MEAN_LOAD * count
     }
 
@@ -113,28 +113,29 @@
             return Vec::new();
         }
         let Some(running) = self.running.get(&request) else { return Vec::new() };
-        let (own, curve, class) = (running.slot, running.curve, running.ask.class);
+        let (own, curve, class) = (running.target, running.curve, running.ask.class);
         let mut ranked: Vec<(Rank, f64, &id::Target)> = Vec::new();
-        for (at, slot) in self.slots.iter().enumerate() {
-            if at == own || !slot.is_up(now) {
+        for (at, state) in self.targets.iter().enumerate() {
+            if at == own || !state.is_up(now) {
                 continue;
             }
             if let Some(reserve) = reserve {
-                let claim = slot.memory.claim(now, class, 1.0, 1.0, reserve);
+                let claim = state.memory.claim(now, class, 1.0, 1.0, reserve);
                 // `fits` accepts any answer on an engine without answers, but that engine may be
                 // full of copies.
-                if slot.memory.load() > 1.0 - reserve || !slot.memory.fits(class, &claim, &curve) {
+                if state.memory.load() > 1.0 - reserve || !state.memory.fits(class, &claim, &curve)
+                {
                     continue;
                 }
             }
-            let cost = (slot.memory.load() + BASE_LOAD) * rng.random_range(0.0..1.0);
-            let load = slot.memory.load();
-            let rank = match slot.memory.load_with(&curve) > 1.0 {
+            let cost = (state.memory.load() + BASE_LOAD) * rng.random_range(0.0..1.0);
+            let load = state.memory.load();
+            let rank = match state.memory.load_with(&curve) > 1.0 {
                 true => Rank::Full,
-                false if load <= NEARLY_FULL && near.contains(&slot.name) => Rank::Near,
+                false if load <= NEARLY_FULL && near.contains(&state.name) => Rank::Near,
                 false => Rank::Far,
             };
-            ranked.push((rank, cost, &slot.name));
+            ranked.push((rank, cost, &state.name));
         }
         ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         ranked.into_iter().map(|(_, _, name)| name.clone()).collect()
@@ -144,20 +145,20 @@
     pub fn transfer(&mut self, now: Time, request: id::Request, to: &id::Target) {
         let Some(&to) = self.index.get(to) else { return };
         let Some(running) = self.running.get_mut(&request) else { return };
-        let from = std::mem::replace(&mut running.slot, to);
+        let from = std::mem::replace(&mut running.target, to);
         let curve = running.curve;
         let unstarted = running.first.is_none();
-        self.slots[from].memory.remove(now, &curve);
+        self.targets[from].memory.remove(now, &curve);
         if unstarted {
             let prompt = running.ask.prompt.get();
-            self.slots[from].begun(prompt);
-            self.slots[to].begins(prompt);
+            self.targets[from].remove_unstarted(prompt);
+            self.targets[to].add_unstarted(prompt);
         }
         // A sample that spans two engines says nothing about either.
         if let Some(running) = self.running.get_mut(&request) {
             running.judged = (running.produced, now);
         }
-        self.slots[to].memory.add(now, &curve);
+        self.targets[to].memory.add(now, &curve);
     }
 
     /// Removes targets that are neither listed nor in use.
@@ -165,19 +166,19 @@
     /// Borrowed targets join and leave all day, each under a new name. Without this the gate would
     /// grow, and every placement would scan all targets that ever existed.
     pub(super) fn remove_unused(&mut self) {
-        let mut moved: Vec<Option<usize>> = Vec::with_capacity(self.slots.len());
-        let mut kept = Vec::with_capacity(self.slots.len());
-        for slot in self.slots.drain(..) {
-            let keep = slot.listed || slot.memory.streams() > 0;
+        let mut moved: Vec<Option<usize>> = Vec::with_capacity(self.targets.len());
+        let mut kept = Vec::with_capacity(self.targets.len());
+        for state in self.targets.drain(..) {
+            let keep = state.listed || state.memory.streams() > 0;
             moved.push(keep.then_some(kept.len()));
             if keep {
-                kept.push(slot);
+                kept.push(state);
             }
         }
-        self.slots = kept;
-        self.index = self.slots.iter().enumerate().map(|(at, s)| (s.name.clone(), at)).collect();
+        self.targets = kept;
+        self.index = self.targets.iter().enumerate().map(|(at, s)| (s.name.clone(), at)).collect();
         for running in self.running.values_mut() {
-            running.slot = moved[running.slot].unwrap_or_default();
+            running.target = moved[running.target].unwrap_or_default();
         }
     }
 }
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -26,8 +26,8 @@
 use crate::queue::{BOUND, Item, Queue};
 use crate::retry;
 use crate::shedding;
-use crate::slot::Slot;
 use crate::stagger::Order;
+use crate::target;
 use crate::time::Time;
 use crate::unit::Tokens;
 use crate::usage::Usage;
@@ -66,7 +66,7 @@
 
 #[derive(Debug)]
 struct Running {
-    slot: usize,
+    target: usize,
     ask: Ask,
     curve: Curve,
     mark: Mark,
@@ -88,7 +88,7 @@
     settings: Settings,
     /// Length of the published list of entries, and the position of this entry in it.
     entries: (usize, Option<usize>),
-    slots: Vec<Slot>,
+    targets: Vec<target::State>,
     index: BTreeMap<id::Target, usize>,
     running: HashMap<id::Request, Running>,
     queue: Queue,
@@ -129,7 +129,7 @@
         Self {
             settings,
             entries: (1, None),
-            slots: Vec::new(),
+            targets: Vec::new(),
             index: BTreeMap::new(),
             running: HashMap::new(),
             queue,
@@ -227,24 +227,24 @@
         if produced <= running.produced {
             return;
         }
-        let slot = &mut self.slots[running.slot];
+        let state = &mut self.targets[running.target];
         let gap =
             now.since(running.latest) / u32::try_from(produced - running.produced).unwrap_or(1);
         match running.first {
             None => {
                 running.first = Some(now);
                 running.judged = (produced, now);
-                slot.begun(running.ask.prompt.get());
-                self.detector.answered(now, &slot.name);
+                state.remove_unstarted(running.ask.prompt.get());
+                self.detector.answered(now, &state.name);
             }
             Some(_) => {
-                slot.pace.sample(now, gap, slot.memory.all_streams(), self.settings.between);
+                state.pace.sample(now, gap, state.memory.all_streams(), self.settings.between);
                 let (from, since) = running.judged;
                 if produced >= from + JUDGED {
                     running.judged = (produced, now);
                     let tokens = u32::try_from(produced - from).unwrap_or(u32::MAX);
                     let sample = Sample::Latency(now.since(since) / tokens);
-                    self.detector.record(now, &slot.name, sample);
+                    self.detector.record(now, &state.name, sample);
                 }
             }
         }
@@ -261,7 +261,7 @@
         let new = self.curve(&running.ask, running.produced);
         let Some(running) = self.running.get_mut(&request) else { return };
         let old = std::mem::replace(&mut running.curve, new);
-        self.slots[running.slot].memory.replace(now, &old, &new);
+        self.targets[running.target].memory.replace(now, &old, &new);
         self.all.remove(&old);
         self.all.add(&new);
         self.usage.add(&running.ask.workspace, f64::from(new.now() - old.now()));
@@ -282,10 +282,10 @@
             return;
         };
         let workspace = &running.ask.workspace;
-        let slot = &mut self.slots[running.slot];
-        slot.memory.remove(now, &running.curve);
+        let state = &mut self.targets[running.target];
+        state.memory.remove(now, &running.curve);
         if running.first.is_none() {
-            slot.begun(running.ask.prompt.get());
+            state.remove_unstarted(running.ask.prompt.get());
         }
         self.all.remove(&running.curve);
         self.usage.add(workspace, -f64::from(running.curve.now()));
@@ -297,15 +297,15 @@
                 self.book.end(workspace, running.mark, running.produced);
                 if is_lookup(&running.ask) {
                     let sample = Sample::Latency(now.since(running.sent));
-                    self.detector.record(now, &slot.name, sample);
-                    self.detector.answered(now, &slot.name);
+                    self.detector.record(now, &state.name, sample);
+                    self.detector.answered(now, &state.name);
                 }
             }
             Outcome::Failed => {
-                slot.pause(now);
-                self.detector.record(now, &slot.name, Sample::Failed);
+                state.record_failure(now);
+                self.detector.record(now, &state.name, Sample::Failed);
             }
-            Outcome::Faulty => self.detector.record(now, &slot.name, Sample::Failed),
+            Outcome::Faulty => self.detector.record(now, &state.name, Sample::Failed),
             Outcome::Cancelled => {}
         }
     }
@@ -319,7 +319,7 @@
         self.drain.pass(now, true);
         self.queue.demote(now, START);
         let mut decided = Vec::new();
-        if self.slots.iter().any(|slot| slot.cordoned)
+        if self.targets.iter().any(|state| state.cordoned)
             && let Some(verdict) = self.without_targets(rng)
         {
             let waiting = self.queue.drain();
@@ -421,19 +421,19 @@
     fn send(&mut self, now: Time, at: usize, ask: Ask, work: f64) -> Verdict {
         let curve = self.curve(&ask, 0);
         self.note_prompt(&ask);
-        let slot = &mut self.slots[at];
+        let state = &mut self.targets[at];
         let grounds = Grounds {
-            load: slot.memory.load(),
-            streams: slot.memory.all_streams(),
-            unread: Tokens::new(slot.waiting()),
-            age: now.since(slot.memory.reported_at()),
+            load: state.memory.load(),
+            streams: state.memory.all_streams(),
+            unread: Tokens::new(state.all_unread()),
+            age: now.since(state.memory.reported_at()),
             late: ask.class == Class::Spare,
         };
-        slot.memory.add(now, &curve);
-        slot.begins(ask.prompt.get());
+        state.memory.add(now, &curve);
+        state.add_unstarted(ask.prompt.get());
         self.sends += 1;
-        slot.turn = self.sends;
-        let target = slot.name.clone();
+        state.last_send = self.sends;
+        let target = state.name.clone();
         self.all.add(&curve);
         self.typical = curve;
         self.usage.add(&ask.workspace, f64::from(curve.now()));
@@ -441,7 +441,7 @@
         let mark = self.book.begin(&ask.workspace);
         let request = ask.request;
         let running = Running {
-            slot: at,
+            target: at,
             ask,
             curve,
             mark,
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -10,7 +10,7 @@
 use crate::id;
 use crate::placement::{self, Candidate};
 use crate::shedding;
-use crate::slot::Slot;
+use crate::target;
 use crate::time::Time;
 
 /// Part of every engine's memory that a heavy workspace leaves to the others. The share of one
@@ -44,15 +44,15 @@
             return;
         }
         self.weighed = now;
-        let listed = self.slots.iter().filter(|slot| slot.is_open());
-        self.held = listed.map(|slot| slot.memory.held().1).sum();
+        let listed = self.targets.iter().filter(|state| state.is_in_service());
+        self.held = listed.map(|state| state.memory.held().1).sum();
         if !self.settings.outlier {
             return;
         }
         self.detector.poll(now);
         for (target, weight) in self.detector.weights(now) {
             if let Some(at) = self.index.get(target) {
-                self.slots[*at].weight = weight;
+                self.targets[*at].weight = weight;
             }
         }
     }
@@ -76,20 +76,20 @@
         ask: &Ask,
     ) -> Option<usize> {
         let sends = self.sends;
-        self.collect(|slot| {
-            let up = slot.is_up(now) && Some(&slot.name) != ask.avoid.as_ref();
-            up.then(|| slot.load(sends))
+        self.collect(|state| {
+            let up = state.is_up(now) && Some(&state.name) != ask.avoid.as_ref();
+            up.then(|| state.load(sends))
         });
         if self.candidates.is_empty() {
             // A suspect target is better than none, and one that failed another request is better
             // than the one that has just failed this request.
-            self.collect(|slot| {
-                let other = Some(&slot.name) != ask.avoid.as_ref();
-                (slot.firm_exclusion(now).is_none() && other).then_some(0.0)
+            self.collect(|state| {
+                let other = Some(&state.name) != ask.avoid.as_ref();
+                (state.hard_exclusion(now).is_none() && other).then_some(0.0)
             });
         }
         if self.candidates.is_empty() {
-            self.collect(|slot| slot.firm_exclusion(now).is_none().then_some(0.0));
+            self.collect(|state| state.hard_exclusion(now).is_none().then_some(0.0));
         }
         let choices = self.settings.choices;
         let chosen = placement::choose(rng, placement::NO_PREFIX, &self.candidates, choices);
@@ -113,25 +113,25 @@
             _ => 0.0,
         };
         let live = settings.pace && live;
-        self.collect(|slot| {
-            if !slot.is_up(now) || Some(&slot.name) == ask.avoid.as_ref() {
+        self.collect(|state| {
+            if !state.is_up(now) || Some(&state.name) == ask.avoid.as_ref() {
                 return None;
             }
-            if settings.stagger && !slot.stagger.is_over(now) {
+            if settings.stagger && !state.stagger.is_over(now) {
                 return None;
             }
-            if settings.ahead && !slot.reads_soon(ask.prompt.get(), ordinary) {
+            if settings.ahead && !state.has_prefill_room(ask.prompt.get(), ordinary) {
                 return None;
             }
-            let (share, part) = (slot.share, slot.share.get(now));
-            if live && (slot.unstarted >= UNSTARTED || !slot.has_pace(now, part)) {
+            let (share, part) = (state.share, state.share.get(now));
+            if live && (state.unstarted >= UNSTARTED || !state.has_stream_room(now, part)) {
                 return None;
             }
-            let (own, total) = slot.memory.held();
+            let (own, total) = state.memory.held();
             let claim =
-                slot.memory.claim(now, ask.class, part, share.kept(now, own, total), reserve);
-            let fits = !settings.memory || slot.memory.fits(ask.class, &claim, curve);
-            fits.then(|| slot.load(sends))
+                state.memory.claim(now, ask.class, part, share.kept(now, own, total), reserve);
+            let fits = !settings.memory || state.memory.fits(ask.class, &claim, curve);
+            fits.then(|| state.load(sends))
         });
         let worth = settings.affinity && ask.prompt.get() >= AFFINE;
         let prefix = if worth { ask.prefix } else { placement::NO_PREFIX };
@@ -140,12 +140,12 @@
     }
 
     /// Collects the targets for which `load` returns a value, as candidates with that load.
-    fn collect(&mut self, load: impl Fn(&Slot) -> Option<f64>) {
+    fn collect(&mut self, load: impl Fn(&target::State) -> Option<f64>) {
         self.candidates.clear();
         self.fitting.clear();
-        for (at, slot) in self.slots.iter().enumerate() {
-            if let Some(load) = load(slot) {
-                self.candidates.push(Candidate { key: slot.key, load, weight: slot.weight });
+        for (at, state) in self.targets.iter().enumerate() {
+            if let Some(load) = load(state) {
+                self.candidates.push(Candidate { key: state.key, load, weight: state.weight });
                 self.fitting.push(at);
             }
         }
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -11,8 +11,8 @@
 use crate::id;
 use crate::memory::Growth;
 use crate::share;
-use crate::slot::Slot;
 use crate::stagger::{Delay, Order};
+use crate::target;
 use crate::time::Time;
 use crate::unit::Tokens;
 
@@ -34,26 +34,26 @@
     /// Recomputes this entry's share of each listed target.
     fn divide(&mut self, now: Time) {
         let (entries, own) = self.entries;
-        let listed = self.index.values().filter(|at| self.slots[**at].listed);
+        let listed = self.index.values().filter(|at| self.targets[**at].listed);
         for (order, at) in listed.copied().collect::<Vec<_>>().into_iter().enumerate() {
             let part = share::part(order, own, entries);
-            self.slots[at].share.set(now, part);
+            self.targets[at].share.set(now, part);
         }
     }
 
     /// Replaces the list of targets. Requests that were sent to a removed target continue until
     /// they finish.
     pub fn set_targets(&mut self, now: Time, targets: Vec<id::Target>) {
-        self.slots.iter_mut().for_each(|slot| slot.listed = false);
+        self.targets.iter_mut().for_each(|state| state.listed = false);
         self.detector.set_targets(&targets);
         for target in targets {
-            let next = self.slots.len();
+            let next = self.targets.len();
             let at = *self.index.entry(target.clone()).or_insert(next);
             if at == next {
                 let stagger = Delay::at(now, &self.order, &target);
-                self.slots.push(Slot::open(target, stagger));
+                self.targets.push(target::State::open(target, stagger));
             }
-            self.slots[at].listed = true;
+            self.targets[at].listed = true;
         }
         self.remove_unused();
         self.divide(now);
@@ -63,15 +63,15 @@
     /// to a target that has just joined.
     pub fn set_order(&mut self, order: Order) {
         self.order = order;
-        for slot in &mut self.slots {
-            slot.stagger = slot.stagger.reordered(&self.order, &slot.name);
+        for state in &mut self.targets {
+            state.stagger = state.stagger.reordered(&self.order, &state.name);
         }
     }
 
     /// Records that a target has restarted: it is as empty as one that has just joined.
     pub fn restarted(&mut self, now: Time, target: &id::Target) {
         if let Some(at) = self.index.get(target) {
-            self.slots[*at].stagger = Delay::at(now, &self.order, target);
+            self.targets[*at].stagger = Delay::at(now, &self.order, target);
         }
     }
 
@@ -79,42 +79,43 @@
     pub fn report(&mut self, now: Time, target: &id::Target, report: &Report, age: Duration) {
         let Some(at) = self.index.get(target) else { return };
         let growth = Growth { own: self.all, typical: self.typical };
-        self.slots[*at].memory.apply_report(now, now - age, report, &growth);
+        self.targets[*at].memory.apply_report(now, now - age, report, &growth);
         self.largest = self.largest.max(report.capacity.get());
     }
 
     /// Sets the prompt tokens of other entries that wait for prefill at a target.
     pub fn set_unread(&mut self, target: &id::Target, tokens: Tokens) {
         if let Some(at) = self.index.get(target) {
-            self.slots[*at].others_unread = tokens.get();
+            self.targets[*at].others_unread = tokens.get();
         }
     }
 
     /// Returns a refusal if no target is listed or all stand in cordoned failure domains.
     pub(super) fn without_targets(&self, rng: &mut impl Rng) -> Option<Verdict> {
-        let mut listed = self.slots.iter().filter(|slot| slot.listed).peekable();
+        let mut listed = self.targets.iter().filter(|state| state.listed).peekable();
         if listed.peek().is_none() {
             return Some(refuse(rng, Reason::NoTarget, RETRY.0));
         }
-        let all = listed.all(|slot| slot.cordoned);
+        let all = listed.all(|state| state.cordoned);
         all.then(|| refuse(rng, Reason::Cordoned, CORDONED_RETRY))
     }
 
     /// Returns a refusal for a lookup that no target can take: all are down, or suspended because
     /// of a limit.
     pub(super) fn nowhere(&self, now: Time, rng: &mut impl Rng) -> Verdict {
-        let listed = self.slots.iter().filter(|slot| slot.is_open());
-        let closed = listed.map(|slot| slot.closed(now)).filter(|left| !left.is_zero()).min();
-        match closed {
+        let listed = self.targets.iter().filter(|state| state.is_in_service());
+        let suspended =
+            listed.map(|state| state.suspended_for(now)).filter(|left| !left.is_zero()).min();
+        match suspended {
             Some(left) => refuse(rng, Reason::Limited, left),
             None => refuse(rng, Reason::NoTarget, RETRY.0),
         }
     }
 
     /// Suspends a target for `wait`, because it accepts no more requests from all entries together.
-    pub fn close(&mut self, now: Time, target: &id::Target, wait: Duration, why: Exclusion) {
+    pub fn suspend(&mut self, now: Time, target: &id::Target, wait: Duration, why: Exclusion) {
         if let Some(at) = self.index.get(target) {
-            self.slots[*at].close(now + wait, why);
+            self.targets[*at].suspend(now + wait, why);
         }
     }
 
@@ -124,10 +125,10 @@
     /// Entries begin one after another to send to targets whose cordon is lifted, as to targets
     /// that have just joined, since these look empty to all entries.
     pub fn set_cordoned(&mut self, now: Time, cordoned: &BTreeSet<id::Target>) {
-        for slot in &mut self.slots {
-            let before = std::mem::replace(&mut slot.cordoned, cordoned.contains(&slot.name));
-            if before && !slot.cordoned {
-                slot.stagger = Delay::at(now, &self.order, &slot.name);
+        for state in &mut self.targets {
+            let before = std::mem::replace(&mut state.cordoned, cordoned.contains(&state.name));
+            if before && !state.cordoned {
+                state.stagger = Delay::at(now, &self.order, &state.name);
             }
         }
     }
@@ -135,7 +136,7 @@
     /// Counts the targets that are excluded for each reason.
     pub fn exclusions(&self, now: Time) -> BTreeMap<Exclusion, usize> {
         let mut counts = BTreeMap::new();
-        for why in self.slots.iter().filter_map(|slot| slot.exclusion(now)) {
+        for why in self.targets.iter().filter_map(|state| state.exclusion(now)) {
             *counts.entry(why).or_default() += 1;
         }
         counts
--- a/crates/policy/src/slot.rs
+++ b/crates/policy/src/target.rs
@@ -13,11 +13,11 @@
 
 /// How long a target receives nothing after a failure; after that, outlier ejection decides. It
 /// covers the reconnection of a link, and is short compared with the patience of callers.
-const PAUSE: Duration = Duration::from_secs(1);
+const FAILURE_PAUSE: Duration = Duration::from_secs(1);
 
 /// Streams of one entry at a target, for each unit of its weight, while the weight is below 1. At
 /// the weight at which a target returns from ejection this allows one stream.
-const RETURNING: f64 = 10.0;
+const RAMP_STREAMS: f64 = 10.0;
 
 /// Prompt tokens waiting for prefill that count as much as the whole memory of a target in use.
 ///
@@ -25,7 +25,7 @@
 /// other at some 14 tokens per millisecond, and the last of them begins a second late while other
 /// engines are idle. On the users' deployments a prompt has 3,000 tokens, so that one waiting
 /// prompt counts as a quarter of an engine.
-const READ: f64 = 12_000.0;
+const PREFILL_LOAD: f64 = 12_000.0;
 
 /// Prompts of mean length that may wait for prefill at one target, the new one included.
 ///
@@ -34,15 +34,15 @@
 /// one prompt is computed while the next arrives, and since prompt lengths differ by a third.
 /// Together with [`crate::stagger`] it lowers the long answers of a busy day that begin late from
 /// 258 to 157; neither of the two alone raises the mean value of a request.
-const AHEAD: f64 = 2.25;
+const MAX_PREFILL_PROMPTS: f64 = 2.25;
 
 /// Load that breaks ties between targets by the time of the last send; far below the load of one
 /// answer.
-const TRACE: f64 = 1e-6;
+const TIE_BREAK: f64 = 1e-6;
 
 /// The state of one target.
 #[derive(Debug)]
-pub(crate) struct Slot {
+pub(crate) struct State {
     pub(crate) name: id::Target,
     pub(crate) key: u64,
     pub(crate) listed: bool,
@@ -59,17 +59,17 @@
     /// Prompt tokens of such streams of other entries, as last announced.
     pub(crate) others_unread: u64,
     /// The gate's count of sends at the last send to this target.
-    pub(crate) turn: u64,
+    pub(crate) last_send: u64,
     /// Delay before this entry sends to it after it has joined.
     pub(crate) stagger: Delay,
-    paused: Time,
+    failed_until: Time,
     /// Until when it receives nothing more from this entry.
-    closed: Time,
+    suspended_until: Time,
     /// Why it receives nothing more.
-    closed_for: Exclusion,
+    suspension: Exclusion,
 }
 
-impl Slot {
+impl State {
     pub(crate) fn open(name: id::Target, stagger: Delay) -> Self {
         let key = placement::key(&name);
         Self {
@@ -84,53 +84,53 @@
             unstarted: 0,
             unread: 0,
             others_unread: 0,
-            turn: 0,
+            last_send: 0,
             stagger,
-            paused: Time::ZERO,
-            closed: Time::ZERO,
-            closed_for: Exclusion::Limited,
+            failed_until: Time::ZERO,
+            suspended_until: Time::ZERO,
+            suspension: Exclusion::Limited,
         }
     }
 
     /// Prompt tokens of all entries that wait for prefill there.
-    pub(crate) fn waiting(&self) -> u64 {
+    pub(crate) fn all_unread(&self) -> u64 {
         self.unread + self.others_unread
     }
 
     /// Whether a prompt would start prefill there without waiting behind more prompts than the
-    /// bound allows, where `ordinary` is the mean prompt length in tokens.
-    pub(crate) fn reads_soon(&self, prompt: u64, ordinary: f64) -> bool {
-        let waiting = self.waiting();
-        waiting == 0 || (waiting + prompt) as f64 <= AHEAD * ordinary
+    /// bound allows, where `mean_prompt` is the mean prompt length in tokens.
+    pub(crate) fn has_prefill_room(&self, prompt: u64, mean_prompt: f64) -> bool {
+        let waiting = self.all_unread();
+        waiting == 0 || (waiting + prompt) as f64 <= MAX_PREFILL_PROMPTS * mean_prompt
     }
 
     /// Records that a prompt was sent.
-    pub(crate) fn begins(&mut self, prompt: u64) {
+    pub(crate) fn add_unstarted(&mut self, prompt: u64) {
         self.unstarted += 1;
         self.unread += prompt;
     }
 
     /// Records that an answer has begun or has ended without a token.
-    pub(crate) fn begun(&mut self, prompt: u64) {
+    pub(crate) fn remove_unstarted(&mut self, prompt: u64) {
         self.unstarted = self.unstarted.saturating_sub(1);
         self.unread = self.unread.saturating_sub(prompt);
     }
 
     /// Records a failure at `now`.
-    pub(crate) fn pause(&mut self, now: Time) {
-        self.paused = now + PAUSE;
+    pub(crate) fn record_failure(&mut self, now: Time) {
+        self.failed_until = now + FAILURE_PAUSE;
     }
 
     /// Suspends the target until a time, unless it is already suspended for longer.
-    pub(crate) fn close(&mut self, until: Time, why: Exclusion) {
-        if until > self.closed {
-            (self.closed, self.closed_for) = (until, why);
+    pub(crate) fn suspend(&mut self, until: Time, why: Exclusion) {
+        if until > self.suspended_until {
+            (self.suspended_until, self.suspension) = (until, why);
         }
     }
 
     /// How long it remains suspended; zero if it is not.
-    pub(crate) fn closed(&self, now: Time) -> Duration {
-        self.closed.since(now)
+    pub(crate) fn suspended_for(&self, now: Time) -> Duration {
+        self.suspended_until.since(now)
     }
 
     /// Returns its load for placement: memory, prompts that wait for prefill, and a tie-breaker by
@@ -138,26 +138,28 @@
     /// turns, so that each target of a nearly idle fleet keeps getting requests that show whether
     /// it works.
     pub(crate) fn load(&self, sends: u64) -> f64 {
-        let unread = self.waiting() as f64 / READ;
-        self.memory.load() + unread + TRACE * self.turn as f64 / sends.max(1) as f64
+        let unread = self.all_unread() as f64 / PREFILL_LOAD;
+        self.memory.load() + unread + TIE_BREAK * self.last_send as f64 / sends.max(1) as f64
     }
 
     /// Why it may receive nothing now; `None` if it may.
     pub(crate) fn exclusion(&self, now: Time) -> Option<Exclusion> {
-        let firm = self.firm_exclusion(now);
-        let doubts =
-            [(now < self.paused, Exclusion::Failed), (!self.is_trusted(), Exclusion::Ejected)];
-        let doubt = || doubts.into_iter().find(|(holds, _)| *holds).map(|(_, why)| why);
-        firm.or_else(doubt)
+        let hard = self.hard_exclusion(now);
+        let suspicions = [
+            (now < self.failed_until, Exclusion::Failed),
+            (!self.is_within_ramp(), Exclusion::Ejected),
+        ];
+        let suspicion = || suspicions.into_iter().find(|(holds, _)| *holds).map(|(_, why)| why);
+        hard.or_else(suspicion)
     }
 
     /// Why it may receive nothing even if no better target is left; `None` if it may. Recent
     /// failures and ejection do not count here, since a suspect target is better than no answer.
-    pub(crate) fn firm_exclusion(&self, now: Time) -> Option<Exclusion> {
+    pub(crate) fn hard_exclusion(&self, now: Time) -> Option<Exclusion> {
         let reasons = [
             (!self.listed, Exclusion::Drains),
             (self.cordoned, Exclusion::Cordoned),
-            (now < self.closed, self.closed_for),
+            (now < self.suspended_until, self.suspension),
         ];
         reasons.into_iter().find(|(holds, _)| *holds).map(|(_, why)| why)
     }
@@ -168,20 +170,20 @@
     }
 
     /// Whether it is listed and not cordoned.
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn is_in_service(&self) -> bool {
         self.listed && !self.cordoned
     }
 
     /// Whether its weight allows one more stream. A target that returns from ejection is empty and
     /// would attract all requests at once, however slow it still is, so its streams are bounded
     /// until it has its full weight.
-    fn is_trusted(&self) -> bool {
-        let bound = f64::from(self.memory.streams()) < self.weight * RETURNING;
+    fn is_within_ramp(&self) -> bool {
+        let bound = f64::from(self.memory.streams()) < self.weight * RAMP_STREAMS;
         self.weight >= 1.0 || bound
     }
 
     /// Whether the bound on streams allows one more stream of this entry.
-    pub(crate) fn has_pace(&self, now: Time, share: f64) -> bool {
+    pub(crate) fn has_stream_room(&self, now: Time, share: f64) -> bool {
         let bound = self.pace.bound(now);
         let all = f64::from(self.memory.all_streams());
         let own = f64::from(self.memory.streams());
--- a/crates/policy/tests/gate.rs
+++ b/crates/policy/tests/gate.rs
@@ -217,12 +217,12 @@
     let mut gate = gate(None);
     let second = Duration::from_secs(1);
     let lookup = |number| ask(number, "members", Class::Lookup, Time::ZERO);
-    gate.close(Time::ZERO, &target(0), second, Exclusion::Limited);
+    gate.suspend(Time::ZERO, &target(0), second, Exclusion::Limited);
     for number in 0..20 {
         let verdict = gate.offer(Time::ZERO, &mut rng, lookup(number));
         assert_eq!(verdict, Verdict::Send(target(1)));
     }
-    gate.close(Time::ZERO, &target(1), second * 3, Exclusion::Limited);
+    gate.suspend(Time::ZERO, &target(1), second * 3, Exclusion::Limited);
     let Verdict::Refuse(refusal) = gate.offer(Time::ZERO, &mut rng, lookup(30)) else {
         panic!("it is sent");
     };
