--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -61,14 +61,14 @@
         Arc::new(Self { clock, state: Mutex::new(state) })
     }
 
-    /// Takes in how a request of another entry ended at a target; see [`Gate::hear`].
+    /// Takes in how a request of another entry ended at a target; see [`Gate::apply_outcome`].
     pub fn hear(&self, target: &id::Target, from: Observer, outcome: witness::Outcome) {
-        self.state.lock().gate.hear(self.clock.now(), target, from, outcome);
+        self.state.lock().gate.apply_outcome(self.clock.now(), target, from, outcome);
     }
 
     /// How requests ended, as far as other entries should hear of it.
     pub fn take_endings(&self) -> Vec<(id::Target, witness::Outcome)> {
-        self.state.lock().gate.take_endings()
+        self.state.lock().gate.take_outcomes()
     }
 
     /// Replaces the targets; requests sent to a removed one go on.
@@ -113,7 +113,7 @@
     pub fn set_terms(&self, weights: &BTreeMap<id::Workspace, f64>, between: Duration) {
         let mut state = self.state.lock();
         state.gate.set_weights(weights.clone());
-        state.gate.set_between(between);
+        state.gate.set_token_interval(between);
     }
 
     /// Answers all who wait: the service is no longer in the text.
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -223,9 +223,9 @@
         // share of an old report.
         gate::Settings {
             share: false,
-            charge_all: true,
+            charge_overnight: true,
             choices: placement::CHOICES_FRESH,
-            ahead: true,
+            prefill_bound: true,
             shed_late: true,
             retries,
             ..gate::Settings::default()
--- a/crates/policy/src/gate/migration.rs
+++ b/crates/policy/src/gate/migration.rs
@@ -108,7 +108,7 @@
         near: &BTreeSet<id::Target>,
         reserve: Option<f64>,
     ) -> Vec<id::Target> {
-        self.weigh(now);
+        self.refresh_weights(now);
         if reserve.is_some() && !self.has_spare_capacity() {
             return Vec::new();
         }
@@ -156,7 +156,7 @@
         }
         // A sample that spans two engines says nothing about either.
         if let Some(running) = self.running.get_mut(&request) {
-            running.judged = (running.produced, now);
+            running.sampled = (running.produced, now);
         }
         self.targets[to].memory.add(now, &curve);
     }
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -31,38 +31,38 @@
 use crate::time::Time;
 use crate::unit::Tokens;
 use crate::usage::Usage;
-use crate::witness::{Observer, Outcome as Ending};
+use crate::witness::{self, Observer};
 
 pub use migration::Holding;
 pub use settings::Settings;
 
 /// Work of one prompt token, where a generated token is 1: engines compute the tokens of a prompt
 /// in bulk.
-const PROMPT_WORK: f64 = 0.05;
+const PROMPT_TOKEN_WORK: f64 = 0.05;
 
 /// Time from sending a request to its first token, as assumed where waits and missed objectives are
 /// predicted.
-const START: Duration = Duration::from_millis(500);
+const FIRST_TOKEN: Duration = Duration::from_millis(500);
 
 /// Factor on predicted waits: requests that arrive later may be served first, and the drain rate of
 /// one entry fluctuates. With 1.2, 2 in 100 accepted requests of the bench pattern `overload`
 /// missed their deadlines, with 1.5 0.5 in 100.
-const CAUTION: f64 = 1.5;
+const WAIT_FACTOR: f64 = 1.5;
 
 /// Shortest and longest retry delay of a refusal, before it is spread.
-const RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 
 /// Tokens of one stream that make one latency sample of its engine: the sample is the mean time
 /// between them. A stream yields one sample after another, since with one sample an answer it takes
 /// a minute to judge an engine that runs twelve streams.
-const JUDGED: u64 = 16;
+const SAMPLE_TOKENS: u64 = 16;
 
 /// Weight of a new prompt in the moving average of prompt lengths, so that some tens of prompts
 /// count.
-const PROMPT_PART: f64 = 1.0 / 32.0;
+const PROMPT_SMOOTHING: f64 = 1.0 / 32.0;
 
 /// Capacity in tokens that is assumed for the largest engine until one has reported.
-const UNREPORTED: u64 = 100;
+const UNREPORTED_CAPACITY: u64 = 100;
 
 #[derive(Debug)]
 struct Running {
@@ -77,7 +77,7 @@
     first: Option<Time>,
     latest: Time,
     /// Tokens produced, and the time, at the latest latency sample of its engine.
-    judged: (u64, Time),
+    sampled: (u64, Time),
     /// State of its target when it was chosen.
     grounds: Grounds,
 }
@@ -93,26 +93,26 @@
     running: HashMap<id::Request, Running>,
     queue: Queue,
     drain: Drain,
-    book: Book,
+    lengths: Book,
     usage: Usage,
     /// Sum of the curves of all running answers.
-    all: Curve,
+    own: Curve,
     /// Curve of the request sent last, which stands for an average new request.
     typical: Curve,
     detector: Detector,
     retries: retry::Budget,
-    weighed: Time,
+    weights_read: Time,
     /// Tokens that all entries together hold at all targets, as of the latest call of
-    /// [`Gate::weigh`].
+    /// [`Gate::refresh_weights`].
     held: f64,
     sends: u64,
     /// Capacity in tokens of the largest engine that has reported; no answer can be longer.
-    largest: u64,
+    largest_capacity: u64,
     /// Moving average of the prompt length in tokens; zero before the first prompt.
-    ordinary: f64,
+    mean_prompt: f64,
     order: Order,
     candidates: Vec<Candidate>,
-    fitting: Vec<usize>,
+    candidate_targets: Vec<usize>,
 }
 
 impl Default for Gate {
@@ -134,20 +134,20 @@
             running: HashMap::new(),
             queue,
             drain: Drain::default(),
-            book: Book::open(),
+            lengths: Book::open(),
             usage: Usage::default(),
-            all: Curve::default(),
+            own: Curve::default(),
             typical: Curve::default(),
             detector: Detector::open(),
             retries,
-            weighed: Time::ZERO,
+            weights_read: Time::ZERO,
             held: 0.0,
             sends: 0,
-            largest: UNREPORTED,
-            ordinary: 0.0,
+            largest_capacity: UNREPORTED_CAPACITY,
+            mean_prompt: 0.0,
             order: Order::default(),
             candidates: Vec::new(),
-            fitting: Vec::new(),
+            candidate_targets: Vec::new(),
         }
     }
 
@@ -162,31 +162,31 @@
     }
 
     /// Sets the objective for the time between tokens of live generations.
-    pub fn set_between(&mut self, between: Duration) {
-        self.settings.between = between;
+    pub fn set_token_interval(&mut self, token_interval: Duration) {
+        self.settings.token_interval = token_interval;
     }
 
     /// Decides on a new request, or on a retry of one that failed before its answer began.
     pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Ask) -> Verdict {
-        self.weigh(now);
+        self.refresh_weights(now);
         self.drain.pass(now, !self.queue.is_empty());
         let again = ask.repeat;
-        if let Some(verdict) = self.without_targets(rng) {
+        if let Some(verdict) = self.refuse_without_targets(rng) {
             return verdict;
         }
         if again
-            && (ask.class != Class::Overnight || self.settings.charge_all)
+            && (ask.class != Class::Overnight || self.settings.charge_overnight)
             && !self.retries.try_take()
         {
-            return refuse(rng, Reason::RetryBudget, RETRY.0);
+            return refuse(rng, Reason::RetryBudget, RETRY_AFTER.0);
         }
         if is_lookup(&ask) {
             return match self.place_lookup(now, rng, &ask) {
                 Some(at) => self.send(now, at, ask, 0.0),
-                None => self.nowhere(now, rng),
+                None => self.refuse_unavailable(now, rng),
             };
         }
-        let ask = self.classed(now, ask);
+        let ask = self.classify(now, ask);
         let work = self.work(&ask);
         let curve = self.curve(&ask, 0);
         if self.queue.is_clear(ask.class)
@@ -194,7 +194,7 @@
         {
             return self.send(now, at, ask, work);
         }
-        if !again && let Some(verdict) = self.refusal(now, rng, &ask, work) {
+        if !again && let Some(verdict) = self.refuse_on_arrival(now, rng, &ask, work) {
             return verdict;
         }
         self.queue.push(now, Item { ask, work }, again);
@@ -202,8 +202,8 @@
     }
 
     /// Returns the request, moved to [`Class::Spare`] if it can no longer begin by its objective.
-    fn classed(&self, now: Time, ask: Ask) -> Ask {
-        let late = self.settings.shed_late && ask.objective < now + START;
+    fn classify(&self, now: Time, ask: Ask) -> Ask {
+        let late = self.settings.shed_late && ask.objective < now + FIRST_TOKEN;
         let class = if late { Class::Spare } else { ask.class };
         Ask { class, ..ask }
     }
@@ -233,15 +233,20 @@
         match running.first {
             None => {
                 running.first = Some(now);
-                running.judged = (produced, now);
+                running.sampled = (produced, now);
                 state.remove_unstarted(running.ask.prompt.get());
                 self.detector.answered(now, &state.name);
             }
             Some(_) => {
-                state.pace.sample(now, gap, state.memory.all_streams(), self.settings.between);
-                let (from, since) = running.judged;
-                if produced >= from + JUDGED {
-                    running.judged = (produced, now);
+                state.pace.sample(
+                    now,
+                    gap,
+                    state.memory.all_streams(),
+                    self.settings.token_interval,
+                );
+                let (from, since) = running.sampled;
+                if produced >= from + SAMPLE_TOKENS {
+                    running.sampled = (produced, now);
                     let tokens = u32::try_from(produced - from).unwrap_or(u32::MAX);
                     let sample = Sample::Latency(now.since(since) / tokens);
                     self.detector.record(now, &state.name, sample);
@@ -251,22 +256,22 @@
         running.latest = now;
         running.produced = produced;
         let workspace = running.ask.workspace.clone();
-        self.book.advance(&workspace, &mut running.mark, produced);
-        self.redraw(now, request);
+        self.lengths.advance(&workspace, &mut running.mark, produced);
+        self.update_curve(now, request);
     }
 
     /// Replaces the curve of a running answer by one for its present length.
-    fn redraw(&mut self, now: Time, request: id::Request) {
+    fn update_curve(&mut self, now: Time, request: id::Request) {
         let Some(running) = self.running.get(&request) else { return };
         let new = self.curve(&running.ask, running.produced);
         let Some(running) = self.running.get_mut(&request) else { return };
         let old = std::mem::replace(&mut running.curve, new);
         self.targets[running.target].memory.replace(now, &old, &new);
-        self.all.remove(&old);
-        self.all.add(&new);
+        self.own.remove(&old);
+        self.own.add(&new);
         self.usage.add(&running.ask.workspace, f64::from(new.now() - old.now()));
         // An answer that is longer than predicted is charged as it grows.
-        let work = PROMPT_WORK * running.ask.prompt.get() as f64 + running.produced as f64;
+        let work = PROMPT_TOKEN_WORK * running.ask.prompt.get() as f64 + running.produced as f64;
         if work > running.work {
             self.queue.charge(&running.ask.workspace, work - running.work);
             running.work = work;
@@ -287,14 +292,14 @@
         if running.first.is_none() {
             state.remove_unstarted(running.ask.prompt.get());
         }
-        self.all.remove(&running.curve);
+        self.own.remove(&running.curve);
         self.usage.add(workspace, -f64::from(running.curve.now()));
-        let done = PROMPT_WORK * running.ask.prompt.get() as f64 + running.produced as f64;
+        let done = PROMPT_TOKEN_WORK * running.ask.prompt.get() as f64 + running.produced as f64;
         self.queue.charge(workspace, done - running.work);
         match outcome {
             Outcome::Whole => {
                 self.retries.earn();
-                self.book.end(workspace, running.mark, running.produced);
+                self.lengths.end(workspace, running.mark, running.produced);
                 if is_lookup(&running.ask) {
                     let sample = Sample::Latency(now.since(running.sent));
                     self.detector.record(now, &state.name, sample);
@@ -315,26 +320,26 @@
         if self.queue.is_empty() {
             return Vec::new();
         }
-        self.weigh(now);
+        self.refresh_weights(now);
         self.drain.pass(now, true);
-        self.queue.demote(now, START);
+        self.queue.demote(now, FIRST_TOKEN);
         let mut decided = Vec::new();
         if self.targets.iter().any(|state| state.cordoned)
-            && let Some(verdict) = self.without_targets(rng)
+            && let Some(verdict) = self.refuse_without_targets(rng)
         {
             let waiting = self.queue.drain();
             return waiting.into_iter().map(|item| (item.ask.request, verdict.clone())).collect();
         }
         for item in self.queue.expire(now) {
             let wait = self.drain.wait(self.queue.ahead(item.ask.class, &item.ask.workspace, 0.0));
-            let verdict = refuse(rng, Reason::Deadline, wait.unwrap_or(RETRY.0));
+            let verdict = refuse(rng, Reason::Deadline, wait.unwrap_or(RETRY_AFTER.0));
             decided.push((item.ask.request, verdict));
         }
-        while let Some((request, verdict)) = self.serve_next(now, rng) {
+        while let Some((request, verdict)) = self.send_next(now, rng) {
             decided.push((request, verdict));
         }
         if self.settings.shed_late {
-            for item in self.queue.shed(now, START, shedding::MAX_WAIT) {
+            for item in self.queue.shed(now, FIRST_TOKEN, shedding::MAX_WAIT) {
                 let retry_after = shedding::retry_after(rng);
                 let refusal = Refusal { reason: Reason::Late, retry_after };
                 decided.push((item.ask.request, Verdict::Refuse(refusal)));
@@ -344,7 +349,7 @@
     }
 
     /// Sends the next queued request that fits on some target.
-    fn serve_next(&mut self, now: Time, rng: &mut impl Rng) -> Option<(id::Request, Verdict)> {
+    fn send_next(&mut self, now: Time, rng: &mut impl Rng) -> Option<(id::Request, Verdict)> {
         for (class, workspace) in self.queue.turns() {
             let ask = self.queue.head(class, &workspace)?.ask.clone();
             let curve = self.curve(&ask, 0);
@@ -358,12 +363,18 @@
     }
 
     /// Applies the outcome of a request of another entry at a target.
-    pub fn hear(&mut self, now: Time, target: &id::Target, from: Observer, outcome: Ending) {
+    pub fn apply_outcome(
+        &mut self,
+        now: Time,
+        target: &id::Target,
+        from: Observer,
+        outcome: witness::Outcome,
+    ) {
         self.detector.hear(now, target, from, outcome);
     }
 
     /// Takes the outcomes of this entry's requests that are to be announced to the other entries.
-    pub fn take_endings(&mut self) -> Vec<(id::Target, Ending)> {
+    pub fn take_outcomes(&mut self) -> Vec<(id::Target, witness::Outcome)> {
         self.detector.take_news()
     }
 
@@ -379,29 +390,36 @@
     }
 
     fn work(&self, ask: &Ask) -> f64 {
-        let expected = self.book.law(&ask.workspace).expected(0, ask.limit.get());
-        PROMPT_WORK * ask.prompt.get() as f64 + f64::from(expected)
+        let expected = self.lengths.law(&ask.workspace).expected(0, ask.limit.get());
+        PROMPT_TOKEN_WORK * ask.prompt.get() as f64 + f64::from(expected)
     }
 
     fn curve(&self, ask: &Ask, produced: u64) -> Curve {
-        let (prompt, limit) = (ask.prompt.get(), ask.limit.get().min(self.largest));
+        let (prompt, limit) = (ask.prompt.get(), ask.limit.get().min(self.largest_capacity));
         if is_lookup(ask) {
             return Curve::default();
         }
         match self.settings.length {
-            true => Curve::of(self.book.law(&ask.workspace), prompt, produced, limit),
+            true => Curve::of(self.lengths.law(&ask.workspace), prompt, produced, limit),
             false => Curve::reserved(prompt, limit),
         }
     }
 
     /// Refuses a request whose answer is predicted to begin after its deadline, or for which the
     /// queue has no space.
-    fn refusal(&mut self, now: Time, rng: &mut impl Rng, ask: &Ask, work: f64) -> Option<Verdict> {
+    fn refuse_on_arrival(
+        &mut self,
+        now: Time,
+        rng: &mut impl Rng,
+        ask: &Ask,
+        work: f64,
+    ) -> Option<Verdict> {
         let ahead = self.queue.ahead(ask.class, &ask.workspace, work);
         let own = self.queue.own_wait(now, ask.class, &ask.workspace, work);
-        let wait = self.drain.wait(ahead).max(own).map(|wait| wait.mul_f64(CAUTION) + START);
+        let wait =
+            self.drain.wait(ahead).max(own).map(|wait| wait.mul_f64(WAIT_FACTOR) + FIRST_TOKEN);
         if self.queue.len() >= BOUND {
-            let retry = self.drain.wait(work).unwrap_or(RETRY.0);
+            let retry = self.drain.wait(work).unwrap_or(RETRY_AFTER.0);
             return Some(refuse(rng, Reason::QueueFull, retry));
         }
         let patience = ask.deadline.since(now);
@@ -414,8 +432,8 @@
         if is_lookup(ask) {
             return;
         }
-        let part = if self.ordinary > 0.0 { PROMPT_PART } else { 1.0 };
-        self.ordinary += (prompt - self.ordinary) * part;
+        let part = if self.mean_prompt > 0.0 { PROMPT_SMOOTHING } else { 1.0 };
+        self.mean_prompt += (prompt - self.mean_prompt) * part;
     }
 
     fn send(&mut self, now: Time, at: usize, ask: Ask, work: f64) -> Verdict {
@@ -434,11 +452,11 @@
         self.sends += 1;
         state.last_send = self.sends;
         let target = state.name.clone();
-        self.all.add(&curve);
+        self.own.add(&curve);
         self.typical = curve;
         self.usage.add(&ask.workspace, f64::from(curve.now()));
         self.queue.charge(&ask.workspace, work);
-        let mark = self.book.begin(&ask.workspace);
+        let mark = self.lengths.begin(&ask.workspace);
         let request = ask.request;
         let running = Running {
             target: at,
@@ -450,7 +468,7 @@
             sent: now,
             first: None,
             latest: now,
-            judged: (0, now),
+            sampled: (0, now),
             grounds,
         };
         self.running.insert(request, running);
@@ -466,6 +484,6 @@
 /// refused together do not return together.
 fn refuse(rng: &mut impl Rng, reason: Reason, after: Duration) -> Verdict {
     let spread = rng.random_range(1.0..1.5);
-    let retry_after = after.clamp(RETRY.0, RETRY.1).mul_f64(spread);
+    let retry_after = after.clamp(RETRY_AFTER.0, RETRY_AFTER.1).mul_f64(spread);
     Verdict::Refuse(Refusal { reason, retry_after })
 }
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -15,35 +15,35 @@
 
 /// Part of every engine's memory that a heavy workspace leaves to the others. The share of one
 /// entry in it must hold one ordinary answer, or the reserve stays free and no entry may use it.
-const RESERVE: f64 = 0.36;
+const HEAVY_RESERVE: f64 = 0.36;
 
 /// A workspace is heavy if it holds more than so many times this entry's equal part of all tokens
 /// held. Without this factor, two ordinary workspaces that share an entry would alternate in being
 /// heavy.
-const FLOOR: f64 = 1.3;
+const HEAVY_FROM: f64 = 1.3;
 
 /// The multiple of the equal part above which a workspace must leave the whole reserve free.
-const FULL: f64 = 1.6;
+const HEAVY_FULL: f64 = 1.6;
 
 /// Streams without a first token that one entry may have at a target when it sends a live
 /// generation there: while a prompt is computed, all streams of the engine stall.
-const UNSTARTED: u32 = 1;
+const MAX_UNSTARTED: u32 = 1;
 
 /// Shortest prompt, in tokens, that is placed by prefix affinity. A shorter one is computed in
 /// about 3 ms, less than one step of an engine, so it goes by load alone.
-const AFFINE: u64 = 64;
+const MIN_AFFINITY_PROMPT: u64 = 64;
 
 /// Interval at which target weights are read from the outlier detector.
-const WEIGHTS: Duration = Duration::from_millis(200);
+const WEIGHTS_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Gate {
     /// Refreshes the weights of targets, and the tokens held at all of them, if the last refresh is
-    /// older than [`WEIGHTS`].
-    pub(super) fn weigh(&mut self, now: Time) {
-        if now.since(self.weighed) < WEIGHTS {
+    /// older than [`WEIGHTS_INTERVAL`].
+    pub(super) fn refresh_weights(&mut self, now: Time) {
+        if now.since(self.weights_read) < WEIGHTS_INTERVAL {
             return;
         }
-        self.weighed = now;
+        self.weights_read = now;
         let listed = self.targets.iter().filter(|state| state.is_in_service());
         self.held = listed.map(|state| state.memory.held().1).sum();
         if !self.settings.outlier {
@@ -59,13 +59,13 @@
 
     /// Returns how far a workspace is above this entry's equal part of all tokens held, from 0 (not
     /// heavy) to 1 (the whole reserve applies).
-    fn weight_above(&self, workspace: &id::Workspace) -> f64 {
+    fn excess(&self, workspace: &id::Workspace) -> f64 {
         let part = self.held / self.entries.0.max(1) as f64;
-        if !self.usage.is_heavy(workspace, FLOOR * part) {
+        if !self.usage.is_heavy(workspace, HEAVY_FROM * part) {
             return 0.0;
         }
         let parts = self.usage.held(workspace) / part.max(1.0);
-        ((parts - FLOOR) / (FULL - FLOOR)).clamp(0.0, 1.0)
+        ((parts - HEAVY_FROM) / (HEAVY_FULL - HEAVY_FROM)).clamp(0.0, 1.0)
     }
 
     /// Chooses a target for a lookup, which never waits for the memory of an engine.
@@ -93,7 +93,7 @@
         }
         let choices = self.settings.choices;
         let chosen = placement::choose(rng, placement::NO_PREFIX, &self.candidates, choices);
-        chosen.map(|at| self.fitting[at])
+        chosen.map(|at| self.candidate_targets[at])
     }
 
     /// Chooses a target for a generation; `None` if it fits on none now.
@@ -105,10 +105,10 @@
         curve: &Curve,
     ) -> Option<usize> {
         let settings = self.settings.clone();
-        let (sends, ordinary) = (self.sends, self.ordinary);
+        let (sends, mean_prompt) = (self.sends, self.mean_prompt);
         let live = ask.class == Class::Live;
         let reserve = match ask.class {
-            Class::Live if settings.reserve => RESERVE * self.weight_above(&ask.workspace),
+            Class::Live if settings.reserve => HEAVY_RESERVE * self.excess(&ask.workspace),
             Class::Spare if settings.shed_late => shedding::RESERVE,
             _ => 0.0,
         };
@@ -120,11 +120,11 @@
             if settings.stagger && !state.stagger.is_over(now) {
                 return None;
             }
-            if settings.ahead && !state.has_prefill_room(ask.prompt.get(), ordinary) {
+            if settings.prefill_bound && !state.has_prefill_room(ask.prompt.get(), mean_prompt) {
                 return None;
             }
             let (share, part) = (state.share, state.share.get(now));
-            if live && (state.unstarted >= UNSTARTED || !state.has_stream_room(now, part)) {
+            if live && (state.unstarted >= MAX_UNSTARTED || !state.has_stream_room(now, part)) {
                 return None;
             }
             let (own, total) = state.memory.held();
@@ -133,20 +133,20 @@
             let fits = !settings.memory || state.memory.fits(ask.class, &claim, curve);
             fits.then(|| state.load(sends))
         });
-        let worth = settings.affinity && ask.prompt.get() >= AFFINE;
-        let prefix = if worth { ask.prefix } else { placement::NO_PREFIX };
+        let has_affinity = settings.affinity && ask.prompt.get() >= MIN_AFFINITY_PROMPT;
+        let prefix = if has_affinity { ask.prefix } else { placement::NO_PREFIX };
         let chosen = placement::choose(rng, prefix, &self.candidates, settings.choices);
-        chosen.map(|at| self.fitting[at])
+        chosen.map(|at| self.candidate_targets[at])
     }
 
     /// Collects the targets for which `load` returns a value, as candidates with that load.
     fn collect(&mut self, load: impl Fn(&target::State) -> Option<f64>) {
         self.candidates.clear();
-        self.fitting.clear();
+        self.candidate_targets.clear();
         for (at, state) in self.targets.iter().enumerate() {
             if let Some(load) = load(state) {
                 self.candidates.push(Candidate { key: state.key, load, weight: state.weight });
-                self.fitting.push(at);
+                self.candidate_targets.push(at);
             }
         }
     }
--- a/crates/policy/src/gate/settings.rs
+++ b/crates/policy/src/gate/settings.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Objective for the time between tokens of live generations.
-    pub between: Duration,
+    pub token_interval: Duration,
     /// Send a generation only to targets where its memory is predicted to fit.
     pub memory: bool,
     /// Predict the lengths of answers instead of reserving their limits.
@@ -34,7 +34,7 @@
     pub stagger: bool,
     /// Bound the prompt tokens that wait for prefill at a target. Useful only if entries announce
     /// to each other what they send.
-    pub ahead: bool,
+    pub prefill_bound: bool,
     /// Let requests that are past their objective use only spare capacity, and shed those that find
     /// none; see [`crate::shedding`].
     pub shed_late: bool,
@@ -42,7 +42,7 @@
     pub outlier: bool,
     /// Charge retries of overnight generations to the retry budget as well, for operators who bound
     /// all retries.
-    pub charge_all: bool,
+    pub charge_overnight: bool,
     /// Budget of this entry for retries.
     pub retries: retry::Terms,
 }
@@ -50,7 +50,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            between: Duration::from_millis(57),
+            token_interval: Duration::from_millis(57),
             memory: true,
             length: true,
             share: true,
@@ -61,10 +61,10 @@
             affinity: true,
             choices: placement::CHOICES_LAGGED,
             stagger: true,
-            ahead: false,
+            prefill_bound: false,
             shed_late: false,
             outlier: true,
-            charge_all: false,
+            charge_overnight: false,
             retries: retry::Terms::default(),
         }
     }
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -7,7 +7,7 @@
 
 use crate::ask::{Reason, Report, Verdict};
 use crate::exclusion::Exclusion;
-use crate::gate::{Gate, RETRY, refuse};
+use crate::gate::{Gate, RETRY_AFTER, refuse};
 use crate::id;
 use crate::memory::Growth;
 use crate::share;
@@ -18,7 +18,7 @@
 
 /// Retry delay if all targets stand in cordoned failure domains. Operators lift cordons after
 /// minutes, so a caller that can retry only once should wait longer than after other refusals.
-const CORDONED_RETRY: Duration = Duration::from_secs(10);
+const CORDONED_RETRY_AFTER: Duration = Duration::from_secs(10);
 
 impl Gate {
     /// Sets the length of the published list of entries, and the position of this entry in it, if
@@ -27,12 +27,12 @@
         let entries = if self.settings.share { entries } else { 1 };
         if (entries, own) != self.entries {
             self.entries = (entries, own);
-            self.divide(now);
+            self.update_shares(now);
         }
     }
 
     /// Recomputes this entry's share of each listed target.
-    fn divide(&mut self, now: Time) {
+    fn update_shares(&mut self, now: Time) {
         let (entries, own) = self.entries;
         let listed = self.index.values().filter(|at| self.targets[**at].listed);
         for (order, at) in listed.copied().collect::<Vec<_>>().into_iter().enumerate() {
@@ -56,7 +56,7 @@
             self.targets[at].listed = true;
         }
         self.remove_unused();
-        self.divide(now);
+        self.update_shares(now);
     }
 
     /// Sets the entries that send to the targets, and with them when this entry may begin to send
@@ -78,9 +78,9 @@
     /// Applies a load report of a target that was taken `age` ago.
     pub fn report(&mut self, now: Time, target: &id::Target, report: &Report, age: Duration) {
         let Some(at) = self.index.get(target) else { return };
-        let growth = Growth { own: self.all, typical: self.typical };
+        let growth = Growth { own: self.own, typical: self.typical };
         self.targets[*at].memory.apply_report(now, now - age, report, &growth);
-        self.largest = self.largest.max(report.capacity.get());
+        self.largest_capacity = self.largest_capacity.max(report.capacity.get());
     }
 
     /// Sets the prompt tokens of other entries that wait for prefill at a target.
@@ -91,24 +91,24 @@
     }
 
     /// Returns a refusal if no target is listed or all stand in cordoned failure domains.
-    pub(super) fn without_targets(&self, rng: &mut impl Rng) -> Option<Verdict> {
+    pub(super) fn refuse_without_targets(&self, rng: &mut impl Rng) -> Option<Verdict> {
         let mut listed = self.targets.iter().filter(|state| state.listed).peekable();
         if listed.peek().is_none() {
-            return Some(refuse(rng, Reason::NoTarget, RETRY.0));
+            return Some(refuse(rng, Reason::NoTarget, RETRY_AFTER.0));
         }
         let all = listed.all(|state| state.cordoned);
-        all.then(|| refuse(rng, Reason::Cordoned, CORDONED_RETRY))
+        all.then(|| refuse(rng, Reason::Cordoned, CORDONED_RETRY_AFTER))
     }
 
     /// Returns a refusal for a lookup that no target can take: all are down, or suspended because
     /// of a limit.
-    pub(super) fn nowhere(&self, now: Time, rng: &mut impl Rng) -> Verdict {
+    pub(super) fn refuse_unavailable(&self, now: Time, rng: &mut impl Rng) -> Verdict {
         let listed = self.targets.iter().filter(|state| state.is_in_service());
         let suspended =
             listed.map(|state| state.suspended_for(now)).filter(|left| !left.is_zero()).min();
         match suspended {
             Some(left) => refuse(rng, Reason::Limited, left),
-            None => refuse(rng, Reason::NoTarget, RETRY.0),
+            None => refuse(rng, Reason::NoTarget, RETRY_AFTER.0),
         }
     }
 
--- a/crates/policy/tests/cordoned.rs
+++ b/crates/policy/tests/cordoned.rs
@@ -42,9 +42,9 @@
 fn gate() -> Gate {
     let settings = Settings {
         share: false,
-        charge_all: true,
+        charge_overnight: true,
         choices: 6,
-        ahead: true,
+        prefill_bound: true,
         shed_late: true,
         ..Settings::default()
     };
--- a/crates/policy/tests/stagger.rs
+++ b/crates/policy/tests/stagger.rs
@@ -51,14 +51,19 @@
 }
 
 /// Returns the most prompts that wait at one of the engines 0.2 s after all have joined.
-fn most_waiting(stagger: bool, ahead: bool) -> usize {
+fn most_waiting(stagger: bool, prefill_bound: bool) -> usize {
     let mut rng = SmallRng::seed_from_u64(7);
     let hosts: Vec<id::Host> =
         names("entry", ENTRIES).iter().map(|n| n.parse().expect("a name")).collect();
     let engines: Vec<id::Target> =
         names("e", ENGINES).iter().map(|n| n.parse().expect("a name")).collect();
-    let settings =
-        || Settings { share: false, choices: CHOICES_FRESH, stagger, ahead, ..Settings::default() };
+    let settings = || Settings {
+        share: false,
+        choices: CHOICES_FRESH,
+        stagger,
+        prefill_bound,
+        ..Settings::default()
+    };
     let mut gates: Vec<Gate> = hosts
         .iter()
         .map(|host| {
