--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -23,7 +23,7 @@
 use crate::length::{Book, Mark};
 use crate::outlier::{Detector, Ejection, Sample};
 use crate::placement::Candidate;
-use crate::queue::{BOUND, Item, Queue};
+use crate::queue::{CAPACITY, Item, Queue};
 use crate::retry;
 use crate::shedding;
 use crate::stagger::Order;
@@ -189,7 +189,7 @@
         let ask = self.classify(now, ask);
         let work = self.work(&ask);
         let curve = self.curve(&ask, 0);
-        if self.queue.is_clear(ask.class)
+        if self.queue.is_empty_through(ask.class)
             && let Some(at) = self.place(now, rng, &ask, &curve)
         {
             return self.send(now, at, ask, work);
@@ -331,7 +331,8 @@
             return waiting.into_iter().map(|item| (item.ask.request, verdict.clone())).collect();
         }
         for item in self.queue.expire(now) {
-            let wait = self.drain.wait(self.queue.ahead(item.ask.class, &item.ask.workspace, 0.0));
+            let wait =
+                self.drain.wait(self.queue.work_ahead(item.ask.class, &item.ask.workspace, 0.0));
             let verdict = refuse(rng, Reason::Deadline, wait.unwrap_or(RETRY_AFTER.0));
             decided.push((item.ask.request, verdict));
         }
@@ -350,7 +351,7 @@
 
     /// Sends the next queued request that fits on some target.
     fn send_next(&mut self, now: Time, rng: &mut impl Rng) -> Option<(id::Request, Verdict)> {
-        for (class, workspace) in self.queue.turns() {
+        for (class, workspace) in self.queue.next_workspaces() {
             let ask = self.queue.head(class, &workspace)?.ask.clone();
             let curve = self.curve(&ask, 0);
             if let Some(at) = self.place(now, rng, &ask, &curve) {
@@ -414,11 +415,11 @@
         ask: &Ask,
         work: f64,
     ) -> Option<Verdict> {
-        let ahead = self.queue.ahead(ask.class, &ask.workspace, work);
+        let ahead = self.queue.work_ahead(ask.class, &ask.workspace, work);
         let own = self.queue.own_wait(now, ask.class, &ask.workspace, work);
         let wait =
             self.drain.wait(ahead).max(own).map(|wait| wait.mul_f64(WAIT_FACTOR) + FIRST_TOKEN);
-        if self.queue.len() >= BOUND {
+        if self.queue.len() >= CAPACITY {
             let retry = self.drain.wait(work).unwrap_or(RETRY_AFTER.0);
             return Some(refuse(rng, Reason::QueueFull, retry));
         }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -19,10 +19,10 @@
 use crate::time::Time;
 
 /// Capacity of the queue of one gate; a request takes about 300 bytes.
-pub const BOUND: usize = 16_384;
+pub const CAPACITY: usize = 16_384;
 
 /// One turn in this many goes to the lowest class that waits.
-const LOWEST_TURN: u32 = 8;
+const LOWEST_CLASS_INTERVAL: u32 = 8;
 
 /// Workspaces tried in one turn, at most.
 const CANDIDATES: usize = 4;
@@ -47,7 +47,7 @@
 
 /// Location of a queued request.
 #[derive(Clone, Debug)]
-struct Place {
+struct Location {
     class: Class,
     workspace: id::Workspace,
     since: Time,
@@ -66,7 +66,7 @@
     accounts: BTreeMap<id::Workspace, Account>,
     weights: BTreeMap<id::Workspace, f64>,
     virtual_time: f64,
-    places: HashMap<id::Request, Place>,
+    locations: HashMap<id::Request, Location>,
     turns: u32,
     fair: bool,
     /// Whether [`Class::Spare`] is left out of the turns of the lowest class.
@@ -96,16 +96,16 @@
 
     /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
     /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
     /// Whether no request of this class or a higher one is queued.
-    pub fn is_clear(&self, class: Class) -> bool {
+    pub fn is_empty_through(&self, class: Class) -> bool {
         self.classes.range(..=class).all(|(_, flows)| flows.is_empty())
     }
 
@@ -118,8 +118,8 @@
     /// request).
     pub fn push(&mut self, now: Time, item: Item, front: bool) {
         let workspace = item.ask.workspace.clone();
-        let place = Place { class: item.ask.class, workspace: workspace.clone(), since: now };
-        self.places.insert(item.ask.request, place);
+        let location = Location { class: item.ask.class, workspace: workspace.clone(), since: now };
+        self.locations.insert(item.ask.request, location);
         // An idle workspace gains no credit for work that it did not ask for.
         let account = self.accounts.entry(workspace.clone()).or_default();
         let flows = self.classes.entry(item.ask.class).or_default();
@@ -145,8 +145,8 @@
     /// The workspaces to serve next, in order, and their class; at most [`CANDIDATES`], so that a
     /// workspace whose request fits on no target now does not block another whose request would
     /// fit.
-    pub fn turns(&self) -> Vec<(Class, id::Workspace)> {
-        let lowest = self.turns % LOWEST_TURN == LOWEST_TURN - 1;
+    pub fn next_workspaces(&self) -> Vec<(Class, id::Workspace)> {
+        let lowest = self.turns % LOWEST_CLASS_INTERVAL == LOWEST_CLASS_INTERVAL - 1;
         let mut waiting = self.classes.iter().filter(|(_, flows)| !flows.is_empty());
         let spare = self.is_spare_last;
         let chosen = match lowest {
@@ -177,8 +177,8 @@
         if self.fair {
             return self.received(a).total_cmp(&self.received(b));
         }
-        let oldest = |w| flows.get(w).and_then(|f| f.items.front()).map(|i| i.ask.deadline);
-        oldest(a).cmp(&oldest(b))
+        let deadline = |w| flows.get(w).and_then(|f| f.items.front()).map(|i| i.ask.deadline);
+        deadline(a).cmp(&deadline(b))
     }
 
     /// The first request of a workspace's queue.
@@ -204,24 +204,24 @@
         let flow = flows.get_mut(workspace)?;
         let item = flow.items.remove(at)?;
         flow.work = (flow.work - item.work).max(0.0);
-        self.places.remove(&item.ask.request);
+        self.locations.remove(&item.ask.request);
         if flow.items.is_empty() {
             flows.remove(workspace);
-            self.forget(workspace);
+            self.evict_account(workspace);
         }
         Some(item)
     }
 
     /// Drops the account of a workspace that is not ahead of the virtual time, if there are many.
-    fn forget(&mut self, workspace: &id::Workspace) {
-        if self.received(workspace) <= self.virtual_time && self.accounts.len() > BOUND {
+    fn evict_account(&mut self, workspace: &id::Workspace) {
+        if self.received(workspace) <= self.virtual_time && self.accounts.len() > CAPACITY {
             self.accounts.remove(workspace);
         }
     }
 
     /// Removes a request, for example because its caller left.
     pub fn remove(&mut self, request: id::Request) -> Option<Item> {
-        let Place { class, workspace, .. } = self.places.get(&request)?.clone();
+        let Location { class, workspace, .. } = self.locations.get(&request)?.clone();
         let flow = self.classes.get(&class)?.get(&workspace)?;
         let at = flow.items.iter().position(|item| item.ask.request == request)?;
         self.take(class, &workspace, at)
@@ -246,11 +246,11 @@
             late.extend(passed.map(|item| item.ask.request));
         }
         for request in late {
-            let since = self.places.get(&request).map_or(now, |place| place.since);
+            let since = self.locations.get(&request).map_or(now, |location| location.since);
             if let Some(mut item) = self.remove(request) {
                 item.ask.class = Class::Spare;
                 self.push(now, item, false);
-                self.places.entry(request).and_modify(|place| place.since = since);
+                self.locations.entry(request).and_modify(|location| location.since = since);
             }
         }
     }
@@ -261,9 +261,9 @@
     pub fn shed(&mut self, now: Time, lead: Duration, max_wait: Duration) -> Vec<Item> {
         let spare = self.classes.get(&Class::Spare).into_iter().flat_map(BTreeMap::values);
         let expired = |item: &&Item| {
-            let place = self.places.get(&item.ask.request);
-            let came_late = place.is_some_and(|p| item.ask.objective < p.since + lead);
-            !came_late && item.ask.objective + max_wait < now + lead
+            let location = self.locations.get(&item.ask.request);
+            let late_on_arrival = location.is_some_and(|p| item.ask.objective < p.since + lead);
+            !late_on_arrival && item.ask.objective + max_wait < now + lead
         };
         let expired: Vec<id::Request> = spare
             .flat_map(|flow| &flow.items)
@@ -275,7 +275,7 @@
 
     /// Removes and returns all requests.
     pub fn drain(&mut self) -> Vec<Item> {
-        let all: Vec<id::Request> = self.places.keys().copied().collect();
+        let all: Vec<id::Request> = self.locations.keys().copied().collect();
         all.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
@@ -307,12 +307,12 @@
 
     /// Work that is served before a further request of this workspace with this much work: all of
     /// higher classes, and of its own class what fair queueing serves first.
-    pub fn ahead(&self, class: Class, workspace: &id::Workspace, work: f64) -> f64 {
-        let better: f64 =
+    pub fn work_ahead(&self, class: Class, workspace: &id::Workspace, work: f64) -> f64 {
+        let higher: f64 =
             self.classes.range(..class).flat_map(|(_, flows)| flows.values()).map(|f| f.work).sum();
-        let Some(flows) = self.classes.get(&class) else { return better };
+        let Some(flows) = self.classes.get(&class) else { return higher };
         if !self.fair {
-            return better + flows.values().map(|f| f.work).sum::<f64>();
+            return higher + flows.values().map(|f| f.work).sum::<f64>();
         }
         let own = flows.get(workspace).map_or(0.0, |f| f.work);
         let received = |w| self.received(w).max(self.virtual_time);
@@ -323,7 +323,7 @@
         });
         let backlog = own + others.sum::<f64>();
         // Workspaces that keep sending requests also take their part of later turns.
-        better + backlog.max((own + work) / self.part(class, workspace) - work)
+        higher + backlog.max((own + work) / self.weight_share(class, workspace) - work)
     }
 
     /// How long the queue of one workspace takes to drain at its recent rate; `None` while that is
@@ -344,7 +344,7 @@
 
     /// The share of this workspace in the weights of all workspaces that wait in a class, itself
     /// included.
-    pub fn part(&self, class: Class, workspace: &id::Workspace) -> f64 {
+    pub fn weight_share(&self, class: Class, workspace: &id::Workspace) -> f64 {
         let own = self.weight(workspace);
         let others = self.classes.get(&class).into_iter().flat_map(|flows| flows.keys());
         let others: f64 = others.filter(|w| *w != workspace).map(|w| self.weight(w)).sum();
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -27,7 +27,7 @@
 
 /// Takes the next item as the gate does, and charges its work when it is sent.
 fn next(queue: &mut Queue) -> Option<Item> {
-    let (class, workspace) = queue.turns().into_iter().next()?;
+    let (class, workspace) = queue.next_workspaces().into_iter().next()?;
     let item = queue.pop(Time::ZERO, class, &workspace)?;
     queue.charge(&workspace, item.work);
     Some(item)
