--- a/crates/policy/src/curve.rs
+++ b/crates/policy/src/curve.rs
@@ -4,11 +4,11 @@
 
 /// Points of a curve, in tokens that each running answer produces until then. The last steps are
 /// wide, since only the highest point matters and it comes early.
-pub const AHEAD: [u64; STEPS] = [0, 32, 64, 128, 256, 512, 1_024, 2_048, 4_096, 8_192];
+pub const STEPS_AHEAD: [u64; STEPS] = [0, 32, 64, 128, 256, 512, 1_024, 2_048, 4_096, 8_192];
 
 const STEPS: usize = 10;
 
-/// Tokens held at each step of [`AHEAD`]: the mean and the variance.
+/// Tokens held at each step of [`STEPS_AHEAD`]: the mean and the variance.
 ///
 /// Answers end independently, so means and variances add up. Some twenty answers of thousands of
 /// tokens in one engine deviate from their mean by a tenth of its memory, a hundred short ones by a
@@ -23,14 +23,14 @@
     /// Returns the curve of one answer: at each step, what it would hold then, times the
     /// probability that it still runs.
     pub fn of(law: &Law, prompt: u64, produced: u64, limit: u64) -> Self {
-        let known = law.survival(produced.max(1)).max(f32::MIN_POSITIVE);
+        let survived = law.survival(produced.max(1)).max(f32::MIN_POSITIVE);
         let mut curve = Self::default();
-        for (at, ahead) in AHEAD.into_iter().enumerate() {
+        for (at, ahead) in STEPS_AHEAD.into_iter().enumerate() {
             let then = produced + ahead;
             if ahead > 0 && then > limit {
                 break;
             }
-            let runs = (law.survival(then.max(1)) / known).min(1.0);
+            let runs = (law.survival(then.max(1)) / survived).min(1.0);
             let held = (prompt + then) as f32;
             curve.mean[at] = held * runs;
             curve.variance[at] = held * held * runs * (1.0 - runs);
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -129,7 +129,7 @@
             }
             let (own, total) = state.memory.held();
             let claim =
-                state.memory.claim(now, ask.class, part, share.kept(now, own, total), reserve);
+                state.memory.claim(now, ask.class, part, share.retained(now, own, total), reserve);
             let fits = !settings.memory || state.memory.fits(ask.class, &claim, curve);
             fits.then(|| state.load(sends))
         });
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -4,7 +4,7 @@
 //! timeout, and the page that needs it with it.
 //!
 //! The hedge is sent after the [`QUANTILE`] of recent latencies, so that about one lookup in twenty
-//! qualifies, and [`EARNED`] bounds hedges to that rate even if all lookups are slow: hedges must
+//! qualifies, and [`EARNED_PER_LOOKUP`] bounds hedges to that rate even if all lookups are slow: hedges must
 //! not double the load of an overloaded service. Generations are never hedged, since a second one
 //! uses memory of an engine, and calls that are not idempotent run at most once.
 
@@ -14,19 +14,19 @@
 pub const QUANTILE: f64 = 0.95;
 
 /// Hedges that one lookup adds to the budget.
-pub const EARNED: f64 = 0.05;
+pub const EARNED_PER_LOOKUP: f64 = 0.05;
 
 /// Capacity of the budget, in hedges: about as many lookups are in flight at a target that stalls.
 pub const BURST: f64 = 5.0;
 
 /// Shortest delay before a hedge: below a round trip between failure domains a hedge gains nothing.
-pub const SHORTEST: Duration = Duration::from_millis(2);
+pub const MIN_DELAY: Duration = Duration::from_millis(2);
 
 /// Latencies in the window: enough for a steady 95th percentile, few enough to follow a change.
 const WINDOW: usize = 256;
 
 /// Latencies needed before the quantile is meaningful.
-const NEEDED: usize = 20;
+const MIN_SAMPLES: usize = 20;
 
 /// New latencies after which the delay is recomputed, since that selects from the whole window.
 const REFRESH: usize = 16;
@@ -47,9 +47,9 @@
         Self::default()
     }
 
-    /// Records that a lookup was sent, which adds [`EARNED`] to the budget.
+    /// Records that a lookup was sent, which adds [`EARNED_PER_LOOKUP`] to the budget.
     pub fn sent(&mut self) {
-        self.left = (self.left + EARNED).min(BURST);
+        self.left = (self.left + EARNED_PER_LOOKUP).min(BURST);
     }
 
     /// Records the latency of a lookup, hedged or not.
@@ -60,9 +60,9 @@
         }
         self.next = (self.next + 1) % WINDOW;
         self.fresh += 1;
-        if self.recent.len() >= NEEDED && (self.fresh >= REFRESH || self.delay.is_none()) {
+        if self.recent.len() >= MIN_SAMPLES && (self.fresh >= REFRESH || self.delay.is_none()) {
             self.fresh = 0;
-            self.delay = Some(self.quantile().max(SHORTEST));
+            self.delay = Some(self.quantile().max(MIN_DELAY));
         }
     }
 
--- a/crates/policy/src/memory.rs
+++ b/crates/policy/src/memory.rs
@@ -211,13 +211,13 @@
     }
 
     /// Returns what this entry may still send, with the part `reserve` of the capacity left free.
-    /// `share` and `kept` are those of [`Claim`].
-    pub fn claim(&self, now: Time, class: Class, share: f64, kept: f64, reserve: f64) -> Claim {
+    /// `share` and `retained` are those of [`Claim`].
+    pub fn claim(&self, now: Time, class: Class, share: f64, retained: f64, reserve: f64) -> Claim {
         let sigmas = sigmas(class);
         let limit = self.capacity * (1.0 - self.margin(now) - reserve);
         let peak = Curve::peak_of([&self.own, &self.others, &Curve::default()], sigmas);
         let (sent, freed) = (self.sent.sum, self.freed.sum);
-        Claim { free: limit - f64::from(peak), sent, freed, share, kept }
+        Claim { free: limit - f64::from(peak), sent, freed, share, retained }
     }
 
     /// Whether an answer with this curve fits into the allowance of `claim`.
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -7,7 +7,7 @@
 //! engine computes it again. Affinity alone keeps the cache but overloads the home of a hot prefix.
 //!
 //! So a prefix stays at its home, the target that ranks first for it in rendezvous hashing, while
-//! that has at most [`BOUND`] times the mean load, the usual factor of consistent hashing with
+//! that has at most [`LOAD_BOUND`] times the mean load, the usual factor of consistent hashing with
 //! bounded loads: with a smaller one requests spill too soon, with a larger one they queue at the
 //! home. A second home, the next in rank, keeps a hot prefix in two caches before it spills
 //! anywhere else. Requests that spill or have no prefix go to the better of two random targets,
@@ -20,11 +20,11 @@
 use crate::id;
 
 /// Load of a prefix's home, as a multiple of the mean, above which its requests go elsewhere.
-pub const BOUND: f64 = 1.25;
+pub const LOAD_BOUND: f64 = 1.25;
 
 /// Load that is added to every target's. It preserves affinity in a nearly idle fleet, and lets a
 /// weight below 1 take effect on targets without load.
-const SLACK: f64 = 0.05;
+const BASE_LOAD: f64 = 0.05;
 
 /// Targets compared where load figures are seconds old: the better of two is within a small
 /// constant of the best choice, and with more of them every entry chooses the same one until the
@@ -57,10 +57,10 @@
 
 impl Candidate {
     fn cost(&self) -> f64 {
-        (self.load + SLACK) / self.weight
+        (self.load + BASE_LOAD) / self.weight
     }
 
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         self.weight > 0.0
     }
 }
@@ -90,7 +90,7 @@
     candidates: &[Candidate],
     choices: usize,
 ) -> Option<usize> {
-    let usable = candidates.iter().filter(|c| c.usable()).count();
+    let usable = candidates.iter().filter(|c| c.is_usable()).count();
     if usable == 0 {
         return None;
     }
@@ -110,26 +110,26 @@
 fn home(prefix: u64, candidates: &[Candidate], usable: usize) -> Option<usize> {
     let mut total = 0.0;
     let mut best: [Option<(u64, usize)>; 2] = [None, None];
-    for (at, candidate) in candidates.iter().enumerate().filter(|(_, c)| c.usable()) {
+    for (at, candidate) in candidates.iter().enumerate().filter(|(_, c)| c.is_usable()) {
         total += candidate.cost();
-        let ranked = Some((mix(prefix, candidate.key), at));
+        let ranked = Some((rank(prefix, candidate.key), at));
         if ranked > best[0] {
             best = [ranked, best[0]];
         } else if ranked > best[1] {
             best[1] = ranked;
         }
     }
-    let bound = BOUND * total / usable as f64;
+    let bound = LOAD_BOUND * total / usable as f64;
     let fits = |at: &usize| candidates[*at].cost() <= bound;
     best.into_iter().flatten().map(|(_, at)| at).find(fits)
 }
 
 fn nth_usable(candidates: &[Candidate], n: usize) -> usize {
-    let usable = candidates.iter().enumerate().filter(|(_, c)| c.usable());
+    let usable = candidates.iter().enumerate().filter(|(_, c)| c.is_usable());
     usable.map(|(at, _)| at).nth(n).unwrap_or_default()
 }
 
 /// Returns the rendezvous-hashing rank of a target for a prefix.
-fn mix(prefix: u64, key: u64) -> u64 {
+fn rank(prefix: u64, key: u64) -> u64 {
     xxh3_64_with_seed(&key.to_le_bytes(), prefix)
 }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -15,22 +15,22 @@
 /// Part of the difference by which a share grows in a second after the list has become shorter.
 /// Entries that read the new list late divide by the old number for some seconds, and this growth
 /// is slower than that; a share shrinks at once.
-const GROWTH: f64 = 0.2;
+const GROWTH_PER_SECOND: f64 = 0.2;
 
 /// Part of what its answers free that an entry above its equal part keeps. With a tenth given up,
 /// holdings at an engine move half way to equal within about seven times the duration of an answer.
-const KEPT_ABOVE: f64 = 0.9;
+const RETAINED_ABOVE: f64 = 0.9;
 
 /// Share of an engine's primary entry; the other entries divide the rest. With eight equal shares,
 /// an eighth of the free memory of a nearly full engine is less than one answer needs, and that
 /// memory stays free while all eight wait.
-const FIRST: f64 = 0.5;
+const PRIMARY: f64 = 0.5;
 
 /// The share of one entry in one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
     part: f64,
-    wanted: f64,
+    published: f64,
     changed: Time,
 }
 
@@ -52,35 +52,35 @@
         return 1.0;
     }
     match own == Some(at % entries) {
-        true => FIRST,
-        false => (1.0 - FIRST) / (entries - 1) as f64,
+        true => PRIMARY,
+        false => (1.0 - PRIMARY) / (entries - 1) as f64,
     }
 }
 
 impl Share {
     /// Creates a share that applies at once.
     pub fn open(part: f64) -> Self {
-        Self { part, wanted: part, changed: Time::ZERO }
+        Self { part, published: part, changed: Time::ZERO }
     }
 
     /// Sets the share of a new list. A smaller one applies at once; a larger one is approached in
     /// bounded steps.
-    pub fn set(&mut self, now: Time, wanted: f64) {
+    pub fn set(&mut self, now: Time, published: f64) {
         let part = self.get(now);
-        *self = Self { part: part.min(wanted), wanted, changed: now };
+        *self = Self { part: part.min(published), published, changed: now };
     }
 
     /// Returns the present share, from 0 to 1.
     pub fn get(&self, now: Time) -> f64 {
         let passed = now.since(self.changed).as_secs_f64();
-        let grown = self.part + (self.wanted - self.part) * GROWTH * passed;
-        grown.min(self.wanted)
+        let grown = self.part + (self.published - self.part) * GROWTH_PER_SECOND * passed;
+        grown.min(self.published)
     }
 
     /// Returns the part of what its answers free that an entry keeps, if it holds `own` of `total`
     /// tokens.
-    pub fn kept(&self, now: Time, own: f64, total: f64) -> f64 {
-        if own > total * self.get(now) { KEPT_ABOVE } else { 1.0 }
+    pub fn retained(&self, now: Time, own: f64, total: f64) -> f64 {
+        if own > total * self.get(now) { RETAINED_ABOVE } else { 1.0 }
     }
 }
 
@@ -97,7 +97,7 @@
     /// Its share of the engine, from 0 to 1.
     pub share: f64,
     /// The part of `freed` that it keeps, from 0 to 1.
-    pub kept: f64,
+    pub retained: f64,
 }
 
 impl Claim {
@@ -105,7 +105,7 @@
     /// since and is kept, less what was sent since.
     pub fn allowance(&self) -> f64 {
         let at_report = (self.free + self.sent - self.freed).max(0.0);
-        let pool = at_report + (1.0 - self.kept) * self.freed;
+        let pool = at_report + (1.0 - self.retained) * self.freed;
         self.free - (1.0 - self.share) * pool
     }
 }
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -11,7 +11,7 @@
 
 /// A workspace is heavy above this multiple of an equal part. Normal variation (a busy hour, one
 /// long answer) stays below it; the large workspaces of either user are above it at their busiest.
-const HEAVY: f64 = 1.5;
+const HEAVY_FACTOR: f64 = 1.5;
 
 /// Tokens that each workspace holds through this entry.
 #[derive(Clone, Debug, Default)]
@@ -39,10 +39,12 @@
         self.held.get(workspace).copied().unwrap_or_default()
     }
 
-    /// Whether a workspace holds far more than an equal part, and more than `part` tokens, while
+    /// Whether a workspace holds far more than an equal part, and more than `floor` tokens, while
     /// others hold some as well.
-    pub fn is_heavy(&self, workspace: &id::Workspace, part: f64) -> bool {
+    pub fn is_heavy(&self, workspace: &id::Workspace, floor: f64) -> bool {
         let held = self.held(workspace);
-        held > part && self.held.len() > 1 && held * self.held.len() as f64 > HEAVY * self.total
+        held > floor
+            && self.held.len() > 1
+            && held * self.held.len() as f64 > HEAVY_FACTOR * self.total
     }
 }
--- a/crates/policy/tests/share.rs
+++ b/crates/policy/tests/share.rs
@@ -39,7 +39,7 @@
         let taken: f64 = (0..entries)
             .map(|own| {
                 let share = part(3, Some(own), entries);
-                let claim = Claim { free: room, sent: 0.0, freed: 0.0, share, kept: 1.0 };
+                let claim = Claim { free: room, sent: 0.0, freed: 0.0, share, retained: 1.0 };
                 let first = claim.allowance();
                 let after = Claim { free: room - first, sent: first, ..claim };
                 first + after.allowance().max(0.0)
