--- a/crates/policy/tests/gate.rs
+++ b/crates/policy/tests/gate.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn full() -> Report {
+fn full_report() -> Report {
     let tokens = Tokens::new(10_000);
     Report { capacity: tokens, used: tokens, running: 20, waiting: 0, preemptions: 0 }
 }
@@ -51,7 +51,7 @@
 #[test]
 fn a_lookup_never_waits_behind_generations() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut gate = gate(Some(&full()));
+    let mut gate = gate(Some(&full_report()));
     for number in 0..1_000 {
         let page = ask(number, "archive", Class::Overnight, Time::ZERO);
         assert_eq!(gate.offer(Time::ZERO, &mut rng, page), Verdict::Wait);
@@ -63,9 +63,9 @@
 /// A queued request whose deadline passes must be refused, with a retry delay, and without having
 /// been sent.
 #[test]
-fn what_waits_past_its_deadline_is_refused_and_was_sent_nowhere() {
+fn a_queued_request_is_refused_at_its_deadline() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut gate = gate(Some(&full()));
+    let mut gate = gate(Some(&full_report()));
     let page = ask(1, "archive", Class::Live, Time::ZERO);
     assert_eq!(gate.offer(Time::ZERO, &mut rng, page), Verdict::Wait);
     assert_eq!(gate.next_poll(), Some(Time::ZERO + Duration::from_secs(5)));
@@ -76,21 +76,21 @@
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum Event {
     Offer(u8, bool),
     Report(usize, u64),
     Progress(usize, u64),
     Finish(usize, bool),
-    Pass(u64),
+    Advance(u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => (0_u8..4, any::<bool>()).prop_map(|(w, live)| Step::Offer(w, live)),
-        1 => (0_usize..2, 0_u64..12_000).prop_map(|(t, used)| Step::Report(t, used)),
-        2 => (any::<usize>(), 1_u64..2_000).prop_map(|(r, n)| Step::Progress(r, n)),
-        2 => (any::<usize>(), any::<bool>()).prop_map(|(r, whole)| Step::Finish(r, whole)),
-        2 => (1_u64..3_000).prop_map(Step::Pass),
+        4 => (0_u8..4, any::<bool>()).prop_map(|(w, live)| Event::Offer(w, live)),
+        1 => (0_usize..2, 0_u64..12_000).prop_map(|(t, used)| Event::Report(t, used)),
+        2 => (any::<usize>(), 1_u64..2_000).prop_map(|(r, n)| Event::Progress(r, n)),
+        2 => (any::<usize>(), any::<bool>()).prop_map(|(r, whole)| Event::Finish(r, whole)),
+        2 => (1_u64..3_000).prop_map(Event::Advance),
     ]
 }
 
@@ -100,50 +100,50 @@
     /// For any sequence of requests, reports, progress and ends, each request gets exactly one
     /// verdict, and none stays queued after its deadline.
     #[test]
-    fn a_refused_request_touched_no_target(steps in prop::collection::vec(step(), 1..200)) {
+    fn every_request_gets_exactly_one_verdict(events in prop::collection::vec(event(), 1..200)) {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         let mut gate = gate(None);
         let mut now = Time::ZERO;
-        let mut told: HashMap<id::Request, Verdict> = HashMap::new();
+        let mut verdicts: HashMap<id::Request, Verdict> = HashMap::new();
         let mut asked = 0;
-        for step in steps {
+        for event in events {
             let known: Vec<id::Request> = (0..asked).map(id::Request::new).collect();
             let pick = |at: usize| known.get(at % known.len().max(1)).copied();
-            match step {
-                Step::Offer(workspace, live) => {
+            match event {
+                Event::Offer(workspace, live) => {
                     let class = if live { Class::Live } else { Class::Overnight };
                     let ask = ask(asked, &format!("w{workspace}"), class, now);
                     asked += 1;
                     let request = ask.request;
                     let verdict = gate.offer(now, &mut rng, ask);
                     if verdict != Verdict::Wait {
-                        told.insert(request, verdict);
+                        verdicts.insert(request, verdict);
                     }
                 }
-                Step::Report(at, used) => {
+                Event::Report(at, used) => {
                     let used = Tokens::new(used);
-                    gate.report(now, &target(at), &Report { used, ..full() }, Duration::ZERO);
+                    gate.report(now, &target(at), &Report { used, ..full_report() }, Duration::ZERO);
                 }
-                Step::Progress(at, produced) => {
+                Event::Progress(at, produced) => {
                     pick(at).into_iter().for_each(|r| gate.progress(now, r, Tokens::new(produced)));
                 }
-                Step::Finish(at, whole) => {
+                Event::Finish(at, whole) => {
                     let outcome = if whole { Outcome::Whole } else { Outcome::Failed };
                     // Only a request that was sent can end; a queued one is left to its deadline.
-                    let sent = |r: &id::Request| matches!(told.get(r), Some(Verdict::Send(_)));
+                    let sent = |r: &id::Request| matches!(verdicts.get(r), Some(Verdict::Send(_)));
                     pick(at).filter(sent).into_iter().for_each(|r| gate.finish(now, r, outcome));
                 }
-                Step::Pass(millis) => now = now + Duration::from_millis(millis),
+                Event::Advance(millis) => now = now + Duration::from_millis(millis),
             }
             for (request, verdict) in gate.poll(now, &mut rng) {
                 prop_assert!(verdict != Verdict::Wait);
-                prop_assert!(told.insert(request, verdict).is_none(), "told twice");
+                prop_assert!(verdicts.insert(request, verdict).is_none(), "decided twice");
             }
         }
         for (request, verdict) in gate.poll(now + Duration::from_secs(60), &mut rng) {
-            prop_assert!(told.insert(request, verdict).is_none(), "told twice");
+            prop_assert!(verdicts.insert(request, verdict).is_none(), "decided twice");
         }
-        prop_assert_eq!(told.len() as u128, asked);
+        prop_assert_eq!(verdicts.len() as u128, asked);
     }
 }
 
@@ -151,7 +151,7 @@
 /// target has failed some request within the last second, so that all are suspect and any of them
 /// may be chosen.
 #[test]
-fn a_second_attempt_avoids_the_target_that_just_failed() {
+fn a_retry_avoids_the_target_that_just_failed() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut gate = Gate::default();
     let targets: Vec<id::Target> = (0..3).map(target).collect();
@@ -176,7 +176,7 @@
 /// target in eight answers with errors, such pauses leave hardly any of three targets eligible for
 /// lookups.
 #[test]
-fn an_error_of_its_own_does_not_pause_a_target() {
+fn an_error_response_does_not_exclude_a_target() {
     let mut rng = ChaCha8Rng::seed_from_u64(6);
     let mut gate = Gate::default();
     gate.set_targets(Time::ZERO, vec![target(0), target(1)]);
@@ -196,7 +196,7 @@
 /// when targets vanish and connections to them fail: requests would be refused although other
 /// targets are free.
 #[test]
-fn a_request_that_arrived_nowhere_draws_on_no_budget() {
+fn an_attempt_that_reached_no_target_takes_no_retry_budget() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut gate = Gate::default();
     gate.set_targets(Time::ZERO, (0..3).map(target).collect());
@@ -212,7 +212,7 @@
 /// Guards against requests being sent to a target that accepts no more, or being queued when no
 /// target does.
 #[test]
-fn what_a_target_does_not_take_goes_to_others_or_is_refused() {
+fn requests_avoid_a_suspended_target_or_are_refused() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut gate = gate(None);
     let second = Duration::from_secs(1);
@@ -224,7 +224,7 @@
     }
     gate.suspend(Time::ZERO, &target(1), second * 3, Exclusion::Limited);
     let Verdict::Refuse(refusal) = gate.offer(Time::ZERO, &mut rng, lookup(30)) else {
-        panic!("it is sent");
+        panic!("the request is sent");
     };
     assert_eq!(refusal.reason, Reason::Limited);
     assert!(refusal.retry_after >= second && refusal.retry_after < second * 2, "{refusal:?}");
--- a/crates/policy/tests/migration.rs
+++ b/crates/policy/tests/migration.rs
@@ -37,13 +37,13 @@
     Report { capacity, used, ..Report::default() }
 }
 
-struct World {
+struct Entry {
     gate: Gate,
     rng: ChaCha8Rng,
     now: Time,
 }
 
-impl World {
+impl Entry {
     fn open(targets: &[id::Target]) -> Self {
         let settings = Settings { share: false, ..Settings::default() };
         let (mut gate, now) = (Gate::open(settings), Time::ZERO);
@@ -69,36 +69,33 @@
 /// An engine has just been added and is empty. If every copy went to it, they would share its one
 /// link.
 #[test]
-fn an_empty_engine_does_not_draw_every_copy() {
+fn an_empty_engine_does_not_get_every_copy() {
     let targets = names(0..10);
-    let mut world = World::open(&targets);
-    let own = world.send(1);
+    let mut entry = Entry::open(&targets);
+    let own = entry.send(1);
     let busy = report(MEMORY * 6 / 10);
     let empty = targets.iter().find(|t| **t != own).expect("one of ten").clone();
     for target in targets.iter().filter(|t| **t != empty) {
-        world.gate.report(world.now, target, &busy, Duration::ZERO);
+        entry.gate.report(entry.now, target, &busy, Duration::ZERO);
     }
     let first =
-        (0..200).filter(|_| world.migration_targets(&[], None).first() == Some(&empty)).count();
+        (0..200).filter(|_| entry.migration_targets(&[], None).first() == Some(&empty)).count();
     assert!((30..120).contains(&first), "{first} of 200");
 }
 
 /// A copy to another failure domain takes twice as long, and may not be complete before its source
 /// is gone.
 #[test]
-fn engines_nearby_go_first() {
+fn engines_in_the_same_failure_domain_come_first() {
     let targets = names(0..8);
-    let mut world = World::open(&targets);
-    let own = world.send(1);
+    let mut entry = Entry::open(&targets);
+    let own = entry.send(1);
     let near: Vec<id::Target> = targets.iter().filter(|t| **t != own).take(2).cloned().collect();
     for _ in 0..50 {
-        let migration_targets = world.migration_targets(&near, None);
-        assert!(
-            migration_targets[..2].iter().all(|refuge| near.contains(refuge)),
-            "{migration_targets:?}"
-        );
-        assert!(!migration_targets.contains(&own));
-        assert_eq!(migration_targets.len(), 7);
+        let ranked = entry.migration_targets(&near, None);
+        assert!(ranked[..2].iter().all(|target| near.contains(target)), "{ranked:?}");
+        assert!(!ranked.contains(&own));
+        assert_eq!(ranked.len(), 7);
     }
 }
 
@@ -107,43 +104,43 @@
 #[test]
 fn a_reserve_leaves_out_full_engines() {
     let targets = names(0..4);
-    let mut world = World::open(&targets);
-    let own = world.send(1);
+    let mut entry = Entry::open(&targets);
+    let own = entry.send(1);
     for target in targets.iter().filter(|t| **t != own) {
-        world.gate.report(world.now, target, &report(MEMORY / 2), Duration::ZERO);
+        entry.gate.report(entry.now, target, &report(MEMORY / 2), Duration::ZERO);
     }
-    assert!(world.migration_targets(&[], Some(0.65)).is_empty());
-    assert_eq!(world.migration_targets(&[], None).len(), 3);
+    assert!(entry.migration_targets(&[], Some(0.65)).is_empty());
+    assert_eq!(entry.migration_targets(&[], None).len(), 3);
 }
 
 /// Guards against a migrated answer being counted at its old target, or still being counted after
 /// its end.
 #[test]
-fn a_moved_answer_is_counted_at_its_new_target() {
+fn a_migrated_answer_is_counted_at_its_new_target() {
     let targets = names(0..2);
-    let mut world = World::open(&targets);
-    let own = world.send(1);
+    let mut entry = Entry::open(&targets);
+    let own = entry.send(1);
     let other = targets.iter().find(|t| **t != own).expect("two").clone();
-    world.gate.transfer(world.now, id::Request::new(1), &other);
-    let holdings: Vec<id::Target> = world.gate.holdings().map(|holding| holding.target).collect();
+    entry.gate.transfer(entry.now, id::Request::new(1), &other);
+    let holdings: Vec<id::Target> = entry.gate.holdings().map(|holding| holding.target).collect();
     assert_eq!(holdings, [other]);
-    world.gate.finish(world.now, id::Request::new(1), Outcome::Whole);
-    assert_eq!(world.gate.holdings().count(), 0);
+    entry.gate.finish(entry.now, id::Request::new(1), Outcome::Whole);
+    assert_eq!(entry.gate.holdings().count(), 0);
 }
 
 /// Borrowed engines join and leave all day under new names. The gate must not grow with them, and
 /// an answer that still runs at one that left must be able to finish.
 #[test]
-fn targets_that_left_are_forgotten_once_unused() {
-    let mut world = World::open(&names(0..4));
-    world.send(1);
+fn unlisted_targets_are_removed_once_unused() {
+    let mut entry = Entry::open(&names(0..4));
+    entry.send(1);
     for from in 1..500 {
-        world.gate.set_targets(world.now, names(from * 4..from * 4 + 4));
+        entry.gate.set_targets(entry.now, names(from * 4..from * 4 + 4));
     }
-    world.gate.finish(world.now, id::Request::new(1), Outcome::Whole);
-    world.gate.set_targets(world.now, names(9_000..9_004));
-    let text = format!("{:?}", world.gate);
-    assert!(!text.contains("\"e-0\"") && !text.contains("\"e-1996\""), "old names are kept");
+    entry.gate.finish(entry.now, id::Request::new(1), Outcome::Whole);
+    entry.gate.set_targets(entry.now, names(9_000..9_004));
+    let text = format!("{:?}", entry.gate);
+    assert!(!text.contains("\"e-0\"") && !text.contains("\"e-1996\""), "removed targets are kept");
 }
 
 /// Guards against an answer being cut although an engine has room, because engines without room are
@@ -152,49 +149,46 @@
 #[test]
 fn engines_without_room_come_last() {
     let targets = names(0..8);
-    let mut world = World::open(&targets);
-    let own = world.send(1);
+    let mut entry = Entry::open(&targets);
+    let own = entry.send(1);
     let others: Vec<id::Target> = targets.iter().filter(|t| **t != own).cloned().collect();
     let (full, free) = others.split_at(5);
     for target in full {
-        world.gate.report(world.now, target, &report(MEMORY - 1_000), Duration::ZERO);
+        entry.gate.report(entry.now, target, &report(MEMORY - 1_000), Duration::ZERO);
     }
     for _ in 0..50 {
-        let migration_targets = world.migration_targets(full, None);
-        assert!(
-            migration_targets[..2].iter().all(|refuge| free.contains(refuge)),
-            "{migration_targets:?}"
-        );
-        assert_eq!(migration_targets.len(), 7);
+        let ranked = entry.migration_targets(full, None);
+        assert!(ranked[..2].iter().all(|target| free.contains(target)), "{ranked:?}");
+        assert_eq!(ranked.len(), 7);
     }
 }
 
 /// If engines are full while the registry is unavailable, answers that are migrated displace
 /// others, and more are late than would have been cut. Whether there is room in the mean decides.
 #[test]
-fn there_is_a_refuge_while_engines_have_room() {
+fn spare_capacity_depends_on_the_mean_load() {
     let targets = names(0..4);
-    let mut world = World::open(&targets);
-    assert!(world.gate.has_spare_capacity());
+    let mut entry = Entry::open(&targets);
+    assert!(entry.gate.has_spare_capacity());
     for target in &targets[..2] {
-        world.gate.report(world.now, target, &report(MEMORY), Duration::ZERO);
+        entry.gate.report(entry.now, target, &report(MEMORY), Duration::ZERO);
     }
-    assert!(world.gate.has_spare_capacity(), "half of the room is free");
-    world.gate.report(world.now, &targets[2], &report(MEMORY), Duration::ZERO);
-    world.gate.report(world.now, &targets[3], &report(MEMORY / 2), Duration::ZERO);
-    assert!(!world.gate.has_spare_capacity());
+    assert!(entry.gate.has_spare_capacity(), "half of the memory is free");
+    entry.gate.report(entry.now, &targets[2], &report(MEMORY), Duration::ZERO);
+    entry.gate.report(entry.now, &targets[3], &report(MEMORY / 2), Duration::ZERO);
+    assert!(!entry.gate.has_spare_capacity());
 }
 
 /// An engine runs nothing yet but holds memory for answers that are being copied to it. A request
 /// that is sent there waits inside it until these have ended, however empty it looks.
 #[test]
-fn an_engine_that_keeps_memory_for_copies_is_not_idle() {
+fn an_engine_that_holds_memory_for_copies_is_not_idle() {
     let targets = names(0..2);
-    let mut world = World::open(&targets);
-    world.gate.report(world.now, &targets[0], &report(MEMORY - 2_000), Duration::ZERO);
+    let mut entry = Entry::open(&targets);
+    entry.gate.report(entry.now, &targets[0], &report(MEMORY - 2_000), Duration::ZERO);
     let mut sent = Vec::new();
     for request in 0..12 {
-        match world.gate.offer(world.now, &mut world.rng, ask(request)) {
+        match entry.gate.offer(entry.now, &mut entry.rng, ask(request)) {
             Verdict::Send(target) => sent.push(target),
             Verdict::Wait => break,
             Verdict::Refuse(refusal) => panic!("{refusal:?}"),
@@ -208,17 +202,17 @@
 #[test]
 fn no_copies_are_made_while_engines_as_a_whole_are_full() {
     let targets = names(0..6);
-    let mut world = World::open(&targets);
-    let own = world.send(1);
-    let copies = |world: &mut World| {
+    let mut entry = Entry::open(&targets);
+    let own = entry.send(1);
+    let copies = |entry: &mut Entry| {
         let near = BTreeSet::new();
         let request = id::Request::new(1);
-        world.gate.migration_targets(world.now, &mut world.rng, request, &near, Some(0.65))
+        entry.gate.migration_targets(entry.now, &mut entry.rng, request, &near, Some(0.65))
     };
-    assert!(!copies(&mut world).is_empty(), "there is room everywhere");
+    assert!(!copies(&mut entry).is_empty(), "there is room everywhere");
     let others: Vec<id::Target> = targets.iter().filter(|t| **t != own).cloned().collect();
     for target in &others[1..] {
-        world.gate.report(world.now, target, &report(MEMORY * 19 / 20), Duration::ZERO);
+        entry.gate.report(entry.now, target, &report(MEMORY * 19 / 20), Duration::ZERO);
     }
-    assert!(copies(&mut world).is_empty(), "one that is empty is wanted for answers");
+    assert!(copies(&mut entry).is_empty(), "the empty engine is needed for answers");
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -27,7 +27,7 @@
 /// Guards against affinity without a bound: if many callers send the same prefix at once, its home
 /// engine fills up while others are idle.
 #[test]
-fn a_hot_prefix_leaves_a_home_that_is_loaded_beyond_the_bound() {
+fn a_hot_prefix_spills_from_a_home_above_the_bound() {
     let mut candidates = fleet(12);
     let mut rng = rng();
     for _ in 0..1200 {
@@ -35,7 +35,7 @@
         candidates[target].load += 0.001;
     }
     let most = candidates.iter().map(|c| c.load).fold(0.0, f64::max);
-    assert!(most < 0.2, "the home carries {most} of which an even spread would be 0.1");
+    assert!(most < 0.2, "the most loaded target has {most}; an even spread would be 0.1");
 }
 
 /// Reports lag, so that for a while every decision sees one engine empty. If all requests went to
@@ -48,13 +48,13 @@
     let sent = (0..1000)
         .filter(|_| choose(&mut rng, NO_PREFIX, &candidates, CHOICES_LAGGED) == Some(0))
         .count();
-    assert!(sent < 250, "{sent} of 1000 went to the one that looked empty");
+    assert!(sent < 250, "{sent} of 1000 went to the engine that looked empty");
 }
 
 /// An engine that is ejected, or has just returned from ejection with a cold cache, gets nothing or
 /// little although its load is lowest.
 #[test]
-fn a_weight_keeps_an_idle_target_from_its_full_share() {
+fn a_low_weight_limits_an_idle_target() {
     let mut candidates = fleet(4);
     candidates.iter_mut().for_each(|c| c.load = 0.5);
     candidates[0] = Candidate { load: 0.0, weight: 0.0, ..candidates[0] };
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn nothing_usable_is_said_so() {
+fn no_usable_candidate_yields_none() {
     assert_eq!(choose(&mut rng(), 1, &[], CHOICES_LAGGED), None);
     assert_eq!(
         choose(&mut rng(), 1, &[Candidate { key: 1, load: 0.0, weight: 0.0 }], CHOICES_LAGGED),
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -36,7 +36,7 @@
 /// A hot workspace queues a thousand requests before another workspace queues one. In order of
 /// arrival that one would be served last; with fair queueing it is among the first.
 #[test]
-fn one_request_does_not_wait_behind_a_hot_callers_thousand() {
+fn one_request_does_not_wait_behind_a_hot_workspace() {
     let mut queue = Queue::open(true);
     (0..1_000).for_each(|n| queue.push(Time::ZERO, item(n, "hot", Class::Live, 100.0), false));
     queue.push(Time::ZERO, item(5_000, "calm", Class::Live, 100.0), false);
@@ -64,7 +64,7 @@
     /// While two workspaces are both backlogged, the work that they have received differs at any
     /// time by no more than the largest request of either.
     #[test]
-    fn waiting_workspaces_receive_alike(
+    fn backlogged_workspaces_receive_equal_work(
         one in prop::collection::vec(1.0_f64..500.0, 20..60),
         two in prop::collection::vec(1.0_f64..500.0, 20..60),
     ) {
--- a/crates/policy/tests/share.rs
+++ b/crates/policy/tests/share.rs
@@ -20,32 +20,32 @@
     /// However quickly lists follow one another, the share of an entry never exceeds what its
     /// latest list gives it.
     #[test]
-    fn a_share_never_passes_its_latest_list(lists in prop::collection::vec((1_usize..20, 0_u64..4_000), 1..20)) {
+    fn a_share_never_exceeds_its_latest_list(lists in prop::collection::vec((1_usize..20, 0_u64..4_000), 1..20)) {
         let mut share = Share::open(part(0, Some(0), lists[0].0));
         let mut now = Time::ZERO;
         for (entries, millis) in lists {
             now = now + Duration::from_millis(millis);
-            let wanted = part(0, Some(0), entries);
-            share.set(now, wanted);
-            prop_assert!(share.get(now) <= wanted + 1e-9);
-            prop_assert!(share.get(now + Duration::from_secs(60)) <= wanted + 1e-9);
+            let published = part(0, Some(0), entries);
+            share.set(now, published);
+            prop_assert!(share.get(now) <= published + 1e-9);
+            prop_assert!(share.get(now + Duration::from_secs(60)) <= published + 1e-9);
         }
     }
 
     /// If every entry sends all that it may after one report, the free memory in the report is not
     /// exceeded.
     #[test]
-    fn claims_of_all_entries_fit_into_the_reported_room(room in 0.0_f64..1e6, entries in 1_usize..12) {
+    fn claims_of_all_entries_fit_into_the_reported_memory(free in 0.0_f64..1e6, entries in 1_usize..12) {
         let taken: f64 = (0..entries)
             .map(|own| {
                 let share = part(3, Some(own), entries);
-                let claim = Claim { free: room, sent: 0.0, freed: 0.0, share, retained: 1.0 };
+                let claim = Claim { free, sent: 0.0, freed: 0.0, share, retained: 1.0 };
                 let first = claim.allowance();
-                let after = Claim { free: room - first, sent: first, ..claim };
+                let after = Claim { free: free - first, sent: first, ..claim };
                 first + after.allowance().max(0.0)
             })
             .sum();
-        prop_assert!(taken <= room * (1.0 + 1e-9), "{taken} of {room}");
+        prop_assert!(taken <= free * (1.0 + 1e-9), "{taken} of {free}");
     }
 }
 
--- a/crates/policy/tests/shedding.rs
+++ b/crates/policy/tests/shedding.rs
@@ -19,7 +19,7 @@
 const OBJECTIVE: Duration = Duration::from_millis(1_800);
 
 /// How long callers there wait for the first token.
-const SILENCE: Duration = Duration::from_millis(6_900);
+const PATIENCE: Duration = Duration::from_millis(6_900);
 
 /// Interval at which queued requests are polled.
 const POLL: Duration = Duration::from_millis(20);
@@ -32,7 +32,7 @@
     format!("e-{n}").parse().expect("a name")
 }
 
-fn ask(request: u128, now: Time, wanted: Time) -> Ask {
+fn ask(request: u128, now: Time, arrived: Time) -> Ask {
     Ask {
         request: id::Request::new(request),
         workspace: "w".parse().expect("a name"),
@@ -40,8 +40,8 @@
         prompt: Tokens::new(PROMPT),
         limit: Tokens::new(1_756),
         prefix: 0,
-        objective: wanted + OBJECTIVE,
-        deadline: now + SILENCE,
+        objective: arrived + OBJECTIVE,
+        deadline: now + PATIENCE,
         repeat: false,
         avoid: None,
     }
@@ -83,7 +83,7 @@
     let mut gate = gate(shed_late, ENGINES);
     let mut counts = Counts::default();
     let mut running: Vec<(Time, id::Request)> = Vec::new();
-    let mut wanted: Vec<Time> = Vec::new();
+    let mut arrived: Vec<Time> = Vec::new();
     let mut now = Time::ZERO;
     while now < at(60_000) {
         let ended: Vec<(Time, id::Request)> =
@@ -91,18 +91,18 @@
         ended.iter().for_each(|(_, request)| gate.finish(now, *request, Outcome::Whole));
         let mut decided = gate.poll(now, &mut rng);
         if arrivals.random_bool(ASKED * POLL.as_secs_f64()) {
-            let request = id::Request::new(wanted.len() as u128);
-            wanted.push(now);
+            let request = id::Request::new(arrived.len() as u128);
+            arrived.push(now);
             counts.asked += 1;
             decided.push((
                 request,
-                gate.offer(now, &mut rng, ask(wanted.len() as u128 - 1, now, now)),
+                gate.offer(now, &mut rng, ask(arrived.len() as u128 - 1, now, now)),
             ));
         }
         for (request, verdict) in decided {
             let number = usize::try_from(request.get()).expect("a small number");
             match verdict {
-                Verdict::Send(_) if now.since(wanted[number]) <= OBJECTIVE => counts.on_time += 1,
+                Verdict::Send(_) if now.since(arrived[number]) <= OBJECTIVE => counts.on_time += 1,
                 Verdict::Send(_) => counts.late += 1,
                 Verdict::Refuse(_) => counts.refused += 1,
                 Verdict::Wait => {}
@@ -120,7 +120,7 @@
 /// Guards against a third of the answers beginning late, although one in six would have to: late
 /// requests would take the memory of those that are not yet late.
 #[test]
-fn the_room_goes_to_those_that_can_still_be_on_time() {
+fn memory_goes_to_requests_that_can_be_on_time() {
     let (before, after) = (overloaded(false), overloaded(true));
     let part = |counts: &Counts| f64::from(counts.on_time) / f64::from(counts.asked);
     assert!(part(&after) > part(&before) + 0.05, "{after:?} {before:?}");
@@ -130,7 +130,7 @@
 /// A request that finds no room and can no longer begin by its objective must be refused soon, with
 /// a delay after which reclaimed engines are replaced, instead of waiting until its caller leaves.
 #[test]
-fn what_is_late_is_sent_away_soon() {
+fn a_late_request_is_refused_soon() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut gate = gate(true, 1);
     hold(&mut gate, 0, at(0), 0.97);
@@ -146,7 +146,7 @@
 /// A late request that returns must not take room that a new one could use, only spare capacity,
 /// and may wait for it until its deadline.
 #[test]
-fn what_comes_back_takes_what_is_left_over() {
+fn a_returning_late_request_uses_only_spare_capacity() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut gate = gate(true, 1);
     hold(&mut gate, 0, at(10_000), 0.6);
@@ -156,7 +156,7 @@
         gate.offer(at(10_010), &mut rng, ask(2, at(10_010), at(10_010))),
         Verdict::Send(_)
     ));
-    assert!(gate.poll(at(13_000), &mut rng).is_empty(), "it is not sent away early");
+    assert!(gate.poll(at(13_000), &mut rng).is_empty(), "it is not refused early");
     gate.finish(at(14_000), id::Request::new(2), Outcome::Whole);
     hold(&mut gate, 0, at(14_000), 0.3);
     let decided = gate.poll(at(14_000), &mut rng);
--- a/crates/policy/tests/stagger.rs
+++ b/crates/policy/tests/stagger.rs
@@ -18,7 +18,7 @@
 const ENGINES: usize = 10;
 
 /// Requests queued at each entry: half a second of its share of the traffic.
-const WAITING: u128 = 8;
+const QUEUED: u128 = 8;
 
 /// Tokens of an engine's memory there, and of a prompt.
 const MEMORY: u64 = 21_874;
@@ -29,7 +29,7 @@
 
 /// How long the entries send before the prompts at each engine are counted; none has been computed
 /// by then.
-const RUSH: Duration = Duration::from_millis(200);
+const SENDING_TIME: Duration = Duration::from_millis(200);
 
 fn names(prefix: &str, count: usize) -> Vec<String> {
     (0..count).map(|n| format!("{prefix}-{n}")).collect()
@@ -51,7 +51,7 @@
 }
 
 /// Returns the most prompts that wait at one of the engines 0.2 s after all have joined.
-fn most_waiting(stagger: bool, prefill_bound: bool) -> usize {
+fn most_unread(stagger: bool, prefill_bound: bool) -> usize {
     let mut rng = SmallRng::seed_from_u64(7);
     let hosts: Vec<id::Host> =
         names("entry", ENTRIES).iter().map(|n| n.parse().expect("a name")).collect();
@@ -73,7 +73,7 @@
         })
         .collect();
     for (entry, gate) in gates.iter_mut().enumerate() {
-        for request in 0..WAITING {
+        for request in 0..QUEUED {
             // The only engine is full, so the requests are queued.
             gate.set_targets(Time::ZERO, vec!["full".parse().expect("a name")]);
             let full = Report {
@@ -87,11 +87,11 @@
             assert_eq!(verdict, Verdict::Wait);
         }
     }
-    let came = Time::ZERO + Duration::from_secs(1);
+    let joined = Time::ZERO + Duration::from_secs(1);
     let mut held = vec![vec![0_u64; ENGINES]; ENTRIES];
-    let mut now = came;
+    let mut now = joined;
     gates.iter_mut().for_each(|gate| gate.set_targets(now, engines.clone()));
-    while now < came + RUSH {
+    while now < joined + SENDING_TIME {
         let known = held.clone();
         for (entry, gate) in gates.iter_mut().enumerate() {
             for (at, engine) in engines.iter().enumerate() {
@@ -123,24 +123,24 @@
 /// With staggered starts and a bound on the prompts that wait there, requests that cannot begin
 /// soon stay queued at the entry, which may send them to another engine.
 #[test]
-fn newcomers_are_not_rushed() {
-    let rushed = most_waiting(false, false);
-    assert!(rushed >= 5, "{rushed}");
-    let bounded = most_waiting(true, true);
-    assert!(bounded <= 2, "{bounded} of {rushed}");
+fn a_new_engine_is_not_flooded() {
+    let flooded = most_unread(false, false);
+    assert!(flooded >= 5, "{flooded}");
+    let bounded = most_unread(true, true);
+    assert!(bounded <= 2, "{bounded} of {flooded}");
 }
 
 /// The bound alone does not hold back entries that have not yet learned what the others sent.
 #[test]
-fn the_bound_on_reading_needs_the_turns() {
-    let alone = most_waiting(false, true);
+fn the_prefill_bound_alone_does_not_prevent_flooding() {
+    let alone = most_unread(false, true);
     assert!(alone > 2, "{alone}");
 }
 
 /// Guards against starvation of the last entry in the order: it may send within a second, however
 /// many entries there are.
 #[test]
-fn every_entry_has_its_turn_within_a_second() {
+fn every_entry_may_send_within_a_second() {
     let hosts: Vec<id::Host> =
         names("entry", 330).iter().map(|n| n.parse().expect("a name")).collect();
     let engine: id::Target = "e-1".parse().expect("a name");
