--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -11,8 +11,8 @@
     Ask, Gate, Grounds, Holding, Outcome, Reason, Refusal, Report, Settings, Verdict,
 };
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::retry;
+use fireflyhoist_policy::stagger::Order;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_policy::witness::{self, Observer};
 use parking_lot::Mutex;
@@ -61,14 +61,14 @@
         Arc::new(Self { clock, state: Mutex::new(state) })
     }
 
-    /// Takes in how a request of another entry ended at a target; see [`Gate::hear`].
+    /// Takes in how a request of another entry ended at a target; see [`Gate::apply_outcome`].
     pub fn hear(&self, target: &id::Target, from: Observer, outcome: witness::Outcome) {
-        self.state.lock().gate.hear(self.clock.now(), target, from, outcome);
+        self.state.lock().gate.apply_outcome(self.clock.now(), target, from, outcome);
     }
 
     /// How requests ended, as far as other entries should hear of it.
     pub fn take_endings(&self) -> Vec<(id::Target, witness::Outcome)> {
-        self.state.lock().gate.take_endings()
+        self.state.lock().gate.take_outcomes()
     }
 
     /// Replaces the targets; requests sent to a removed one go on.
@@ -113,7 +113,7 @@
     pub fn set_terms(&self, weights: &BTreeMap<id::Workspace, f64>, between: Duration) {
         let mut state = self.state.lock();
         state.gate.set_weights(weights.clone());
-        state.gate.set_between(between);
+        state.gate.set_token_interval(between);
     }
 
     /// Answers all who wait: the service is no longer in the text.
@@ -197,14 +197,14 @@
         Some(format_smolstr!("{}; tried again in {left} s", ejection.cause))
     }
 
-    /// Sends nothing more to a target for some time; see [`Gate::close`].
+    /// Sends nothing more to a target for some time; see [`Gate::suspend`].
     pub fn close_target(&self, target: &id::Target, wait: Duration, why: Exclusion) {
-        self.state.lock().gate.close(self.clock.now(), target, wait, why);
+        self.state.lock().gate.suspend(self.clock.now(), target, wait, why);
     }
 
-    /// Whether targets have room to take over what others hold; see [`Gate::has_refuge`].
+    /// Whether targets have room to take over what others hold; see [`Gate::has_spare_capacity`].
     pub fn has_refuge(&self) -> bool {
-        self.state.lock().gate.has_refuge()
+        self.state.lock().gate.has_spare_capacity()
     }
 
     /// What this entry's running requests hold, target by target.
@@ -269,11 +269,11 @@
         self.lane.state.lock().gate.grounds(self.request)
     }
 
-    /// Where the answer's memory is best copied or moved; see [`Gate::refuges`].
+    /// Where the answer's memory is best copied or moved; see [`Gate::migration_targets`].
     pub fn refuges(&self, near: &BTreeSet<id::Target>, reserve: Option<f64>) -> Vec<id::Target> {
         let now = self.lane.clock.now();
         let mut state = self.lane.state.lock();
-        state.gate.refuges(now, &mut rand::rng(), self.request, near, reserve)
+        state.gate.migration_targets(now, &mut rand::rng(), self.request, near, reserve)
     }
 
     /// Whether the answer may be begun anew elsewhere; see [`Gate::try_repeat`].
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -15,10 +15,10 @@
 use fireflyhoist_policy::cordon::Cordons;
 use fireflyhoist_policy::gate;
 use fireflyhoist_policy::lease::Leases;
-use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::retry;
 use fireflyhoist_policy::route::{Table, Text};
+use fireflyhoist_policy::stagger::Order;
 use fireflyhoist_policy::target_limit::Limits;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::token_bucket::Buckets;
@@ -223,10 +223,10 @@
         // share of an old report.
         gate::Settings {
             share: false,
-            charge_all: true,
+            charge_overnight: true,
             choices: placement::CHOICES_FRESH,
-            ahead: true,
-            late: true,
+            prefill_bound: true,
+            shed_late: true,
             retries,
             ..gate::Settings::default()
         }
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -1,4 +1,4 @@
-//! Which targets of a gate may take a request, and how much of them a heavy workspace leaves.
+//! Candidate targets for a request, and the reserve that a heavy workspace must leave free on them.
 
 use std::time::Duration;
 
@@ -8,64 +8,67 @@
 use crate::curve::Curve;
 use crate::gate::Gate;
 use crate::id;
-use crate::late;
 use crate::placement::{self, Candidate};
-use crate::slot::Slot;
+use crate::shedding;
+use crate::target;
 use crate::time::Time;
 
-/// Part of every engine that a heavy workspace leaves to the others. An entry's share of it must
-/// hold one ordinary answer, or the reserve is free and yet nobody may take it.
-const RESERVE: f64 = 0.36;
+/// Part of every engine's memory that a heavy workspace leaves to the others. The share of one
+/// entry in it must hold one ordinary answer, or the reserve stays free and no entry may use it.
+const HEAVY_RESERVE: f64 = 0.36;
 
-/// How many times an entry's equal part of all that is held a workspace must hold there to be
-/// heavy. Without it two ordinary workspaces that share an entry take turns at being heavy.
-const FLOOR: f64 = 1.3;
+/// A workspace is heavy if it holds more than so many times this entry's equal part of all tokens
+/// held. Without this factor, two ordinary workspaces that share an entry would alternate in being
+/// heavy.
+const HEAVY_FROM: f64 = 1.3;
 
-/// The same, where the whole reserve is left.
-const FULL: f64 = 1.6;
+/// The multiple of the equal part above which a workspace must leave the whole reserve free.
+const HEAVY_FULL: f64 = 1.6;
 
-/// Streams that one entry may have at a live engine before their first token: each prompt holds
-/// back every stream of the engine while it is computed.
-const UNSTARTED: u32 = 1;
+/// Streams without a first token that one entry may have at a target when it sends a live
+/// generation there: while a prompt is computed, all streams of the engine stall.
+const MAX_UNSTARTED: u32 = 1;
 
-/// Prompts below so many tokens are computed in about 3 ms, less than one step of an engine, so
-/// they go where the load is least and not where they were met before.
-const AFFINE: u64 = 64;
+/// Shortest prompt, in tokens, that is placed by prefix affinity. A shorter one is computed in
+/// about 3 ms, less than one step of an engine, so it goes by load alone.
+const MIN_AFFINITY_PROMPT: u64 = 64;
 
-/// How often targets' weights are read from the detector.
-const WEIGHTS: Duration = Duration::from_millis(200);
+/// Interval at which target weights are read from the outlier detector.
+const WEIGHTS_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Gate {
-    /// Reads anew how far each target is trusted.
-    pub(super) fn weigh(&mut self, now: Time) {
-        if now.since(self.weighed) < WEIGHTS {
+    /// Refreshes the weights of targets, and the tokens held at all of them, if the last refresh is
+    /// older than [`WEIGHTS_INTERVAL`].
+    pub(super) fn refresh_weights(&mut self, now: Time) {
+        if now.since(self.weights_read) < WEIGHTS_INTERVAL {
             return;
         }
-        self.weighed = now;
-        let listed = self.slots.iter().filter(|slot| slot.is_open());
-        self.held = listed.map(|slot| slot.room.holdings().1).sum();
+        self.weights_read = now;
+        let listed = self.targets.iter().filter(|state| state.is_in_service());
+        self.held = listed.map(|state| state.memory.held().1).sum();
         if !self.settings.outlier {
             return;
         }
         self.detector.poll(now);
         for (target, weight) in self.detector.weights(now) {
             if let Some(at) = self.index.get(target) {
-                self.slots[*at].weight = weight;
+                self.targets[*at].weight = weight;
             }
         }
     }
 
-    /// How far a workspace stands above this entry's equal part of all that is held, from 0 to 1.
-    fn weight_above(&self, workspace: &id::Workspace) -> f64 {
+    /// Returns how far a workspace is above this entry's equal part of all tokens held, from 0 (not
+    /// heavy) to 1 (the whole reserve applies).
+    fn excess(&self, workspace: &id::Workspace) -> f64 {
         let part = self.held / self.entries.0.max(1) as f64;
-        if !self.usage.is_heavy(workspace, FLOOR * part) {
+        if !self.usage.is_heavy(workspace, HEAVY_FROM * part) {
             return 0.0;
         }
         let parts = self.usage.held(workspace) / part.max(1.0);
-        ((parts - FLOOR) / (FULL - FLOOR)).clamp(0.0, 1.0)
+        ((parts - HEAVY_FROM) / (HEAVY_FULL - HEAVY_FROM)).clamp(0.0, 1.0)
     }
 
-    /// A lookup goes out at once, whatever the generations do.
+    /// Chooses a target for a lookup, which never waits for the memory of an engine.
     pub(super) fn place_lookup(
         &mut self,
         now: Time,
@@ -73,27 +76,27 @@
         ask: &Ask,
     ) -> Option<usize> {
         let sends = self.sends;
-        self.collect(|slot| {
-            let up = slot.is_up(now) && Some(&slot.name) != ask.avoid.as_ref();
-            up.then(|| slot.load(sends))
+        self.collect(|state| {
+            let up = state.is_up(now) && Some(&state.name) != ask.avoid.as_ref();
+            up.then(|| state.load(sends))
         });
         if self.candidates.is_empty() {
-            // Better a target in doubt than no answer, and one that failed some other request than
-            // the one that has just failed this.
-            self.collect(|slot| {
-                let other = Some(&slot.name) != ask.avoid.as_ref();
-                (slot.firm_exclusion(now).is_none() && other).then_some(0.0)
+            // A suspect target is better than none, and one that failed another request is better
+            // than the one that has just failed this request.
+            self.collect(|state| {
+                let other = Some(&state.name) != ask.avoid.as_ref();
+                (state.hard_exclusion(now).is_none() && other).then_some(0.0)
             });
         }
         if self.candidates.is_empty() {
-            self.collect(|slot| slot.firm_exclusion(now).is_none().then_some(0.0));
+            self.collect(|state| state.hard_exclusion(now).is_none().then_some(0.0));
         }
         let choices = self.settings.choices;
         let chosen = placement::choose(rng, placement::NO_PREFIX, &self.candidates, choices);
-        chosen.map(|at| self.fitting[at])
+        chosen.map(|at| self.candidate_targets[at])
     }
 
-    /// The target for a generation, where one has room.
+    /// Chooses a target for a generation; `None` if it fits on none now.
     pub(super) fn place(
         &mut self,
         now: Time,
@@ -102,47 +105,48 @@
         curve: &Curve,
     ) -> Option<usize> {
         let settings = self.settings.clone();
-        let (sends, ordinary) = (self.sends, self.ordinary);
+        let (sends, mean_prompt) = (self.sends, self.mean_prompt);
         let live = ask.class == Class::Live;
         let reserve = match ask.class {
-            Class::Live if settings.reserve => RESERVE * self.weight_above(&ask.workspace),
-            Class::Spare if settings.late => late::RESERVE,
+            Class::Live if settings.reserve => HEAVY_RESERVE * self.excess(&ask.workspace),
+            Class::Spare if settings.shed_late => shedding::RESERVE,
             _ => 0.0,
         };
         let live = settings.pace && live;
-        self.collect(|slot| {
-            if !slot.is_up(now) || Some(&slot.name) == ask.avoid.as_ref() {
+        self.collect(|state| {
+            if !state.is_up(now) || Some(&state.name) == ask.avoid.as_ref() {
                 return None;
             }
-            if settings.newcomers && !slot.arrival.is_turn(now) {
+            if settings.stagger && !state.stagger.is_over(now) {
                 return None;
             }
-            if settings.ahead && !slot.reads_soon(ask.prompt.get(), ordinary) {
+            if settings.prefill_bound && !state.has_prefill_room(ask.prompt.get(), mean_prompt) {
                 return None;
             }
-            let (share, part) = (slot.share, slot.share.get(now));
-            if live && (slot.unstarted >= UNSTARTED || !slot.has_pace(now, part)) {
+            let (share, part) = (state.share, state.share.get(now));
+            if live && (state.unstarted >= MAX_UNSTARTED || !state.has_stream_room(now, part)) {
                 return None;
             }
-            let (own, total) = slot.room.holdings();
-            let claim = slot.room.claim(now, ask.class, part, share.kept(now, own, total), reserve);
-            let fits = !settings.room || slot.room.fits(ask.class, &claim, curve);
-            fits.then(|| slot.load(sends))
+            let (own, total) = state.memory.held();
+            let claim =
+                state.memory.claim(now, ask.class, part, share.retained(now, own, total), reserve);
+            let fits = !settings.memory || state.memory.fits(ask.class, &claim, curve);
+            fits.then(|| state.load(sends))
         });
-        let worth = settings.affinity && ask.prompt.get() >= AFFINE;
-        let prefix = if worth { ask.prefix } else { placement::NO_PREFIX };
+        let has_affinity = settings.affinity && ask.prompt.get() >= MIN_AFFINITY_PROMPT;
+        let prefix = if has_affinity { ask.prefix } else { placement::NO_PREFIX };
         let chosen = placement::choose(rng, prefix, &self.candidates, settings.choices);
-        chosen.map(|at| self.fitting[at])
+        chosen.map(|at| self.candidate_targets[at])
     }
 
-    /// Lists the targets that `load` takes, each with its load.
-    fn collect(&mut self, load: impl Fn(&Slot) -> Option<f64>) {
+    /// Collects the targets for which `load` returns a value, as candidates with that load.
+    fn collect(&mut self, load: impl Fn(&target::State) -> Option<f64>) {
         self.candidates.clear();
-        self.fitting.clear();
-        for (at, slot) in self.slots.iter().enumerate() {
-            if let Some(load) = load(slot) {
-                self.candidates.push(Candidate { key: slot.key, load, weight: slot.weight });
-                self.fitting.push(at);
+        self.candidate_targets.clear();
+        for (at, state) in self.targets.iter().enumerate() {
+            if let Some(load) = load(state) {
+                self.candidates.push(Candidate { key: state.key, load, weight: state.weight });
+                self.candidate_targets.push(at);
             }
         }
     }
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -1,4 +1,4 @@
-//! Which targets a gate knows, and why each may be excluded.
+//! The targets of a gate: their list, reports, cordons and reasons for exclusion.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,130 +7,136 @@
 
 use crate::ask::{Reason, Report, Verdict};
 use crate::exclusion::Exclusion;
-use crate::gate::{Gate, RETRY, refuse};
+use crate::gate::{Gate, RETRY_AFTER, refuse};
 use crate::id;
-use crate::newcomer::{Arrival, Order};
-use crate::room::Growth;
+use crate::memory::Growth;
 use crate::share;
-use crate::slot::Slot;
+use crate::stagger::{Delay, Order};
+use crate::target;
 use crate::time::Time;
 use crate::unit::Tokens;
 
-/// When to come back where every target stands in a failure domain that is cordoned: operators lift cordons after
-/// minutes, so whoever may ask only once more had better wait.
-const CORDONED_RETRY: Duration = Duration::from_secs(10);
+/// Retry delay if all targets stand in cordoned failure domains. Operators lift cordons after
+/// minutes, so a caller that can retry only once should wait longer than after other refusals.
+const CORDONED_RETRY_AFTER: Duration = Duration::from_secs(10);
 
 impl Gate {
-    /// Tells how many entries the published list names, and which of them this one is.
+    /// Sets the length of the published list of entries, and the position of this entry in it, if
+    /// it is listed.
     pub fn set_entries(&mut self, now: Time, entries: usize, own: Option<usize>) {
         let entries = if self.settings.share { entries } else { 1 };
         if (entries, own) != self.entries {
             self.entries = (entries, own);
-            self.divide(now);
+            self.update_shares(now);
         }
     }
 
-    /// Works out this entry's share of each target anew.
-    fn divide(&mut self, now: Time) {
+    /// Recomputes this entry's share of each listed target.
+    fn update_shares(&mut self, now: Time) {
         let (entries, own) = self.entries;
-        let listed = self.index.values().filter(|at| self.slots[**at].listed);
+        let listed = self.index.values().filter(|at| self.targets[**at].listed);
         for (order, at) in listed.copied().collect::<Vec<_>>().into_iter().enumerate() {
             let part = share::part(order, own, entries);
-            self.slots[at].share.set(now, part);
+            self.targets[at].share.set(now, part);
         }
     }
 
-    /// Replaces the targets; requests already sent to a removed one go on until they finish.
+    /// Replaces the list of targets. Requests that were sent to a removed target continue until
+    /// they finish.
     pub fn set_targets(&mut self, now: Time, targets: Vec<id::Target>) {
-        self.slots.iter_mut().for_each(|slot| slot.listed = false);
+        self.targets.iter_mut().for_each(|state| state.listed = false);
         self.detector.set_targets(&targets);
         for target in targets {
-            let next = self.slots.len();
+            let next = self.targets.len();
             let at = *self.index.entry(target.clone()).or_insert(next);
             if at == next {
-                let arrival = Arrival::at(now, &self.order, &target);
-                self.slots.push(Slot::open(target, arrival));
+                let stagger = Delay::at(now, &self.order, &target);
+                self.targets.push(target::State::open(target, stagger));
             }
-            self.slots[at].listed = true;
+            self.targets[at].listed = true;
         }
-        self.forget_unused();
-        self.divide(now);
+        self.remove_unused();
+        self.update_shares(now);
     }
 
-    /// Tells which entries send to the targets, so that each has its turn at one that has just come.
+    /// Sets the entries that send to the targets, and with them when this entry may begin to send
+    /// to a target that has just joined.
     pub fn set_order(&mut self, order: Order) {
         self.order = order;
-        for slot in &mut self.slots {
-            slot.arrival = slot.arrival.reordered(&self.order, &slot.name);
+        for state in &mut self.targets {
+            state.stagger = state.stagger.reordered(&self.order, &state.name);
         }
     }
 
-    /// Notes that a target has started again: it is as empty as one that has just come.
+    /// Records that a target has restarted: it is as empty as one that has just joined.
     pub fn restarted(&mut self, now: Time, target: &id::Target) {
         if let Some(at) = self.index.get(target) {
-            self.slots[*at].arrival = Arrival::at(now, &self.order, target);
+            self.targets[*at].stagger = Delay::at(now, &self.order, target);
         }
     }
 
-    /// Takes in a target's load report, which was taken `age` ago.
+    /// Applies a load report of a target that was taken `age` ago.
     pub fn report(&mut self, now: Time, target: &id::Target, report: &Report, age: Duration) {
         let Some(at) = self.index.get(target) else { return };
-        let growth = Growth { own: self.all, fresh: self.fresh };
-        self.slots[*at].room.report(now, now - age, report, &growth);
-        self.largest = self.largest.max(report.capacity.get());
+        let growth = Growth { own: self.own, typical: self.typical };
+        self.targets[*at].memory.apply_report(now, now - age, report, &growth);
+        self.largest_capacity = self.largest_capacity.max(report.capacity.get());
     }
 
-    /// Takes in how many prompt tokens of other entries wait to be read at a target.
+    /// Sets the prompt tokens of other entries that wait for prefill at a target.
     pub fn set_unread(&mut self, target: &id::Target, tokens: Tokens) {
         if let Some(at) = self.index.get(target) {
-            self.slots[*at].others_unread = tokens.get();
+            self.targets[*at].others_unread = tokens.get();
         }
     }
 
-    /// Refuses where no target is listed, or all stand in failure domains that are cordoned.
-    pub(super) fn without_targets(&self, rng: &mut impl Rng) -> Option<Verdict> {
-        let mut listed = self.slots.iter().filter(|slot| slot.listed).peekable();
+    /// Returns a refusal if no target is listed or all stand in cordoned failure domains.
+    pub(super) fn refuse_without_targets(&self, rng: &mut impl Rng) -> Option<Verdict> {
+        let mut listed = self.targets.iter().filter(|state| state.listed).peekable();
         if listed.peek().is_none() {
-            return Some(refuse(rng, Reason::NoTarget, RETRY.0));
+            return Some(refuse(rng, Reason::NoTarget, RETRY_AFTER.0));
         }
-        let all = listed.all(|slot| slot.cordoned);
-        all.then(|| refuse(rng, Reason::Cordoned, CORDONED_RETRY))
+        let all = listed.all(|state| state.cordoned);
+        all.then(|| refuse(rng, Reason::Cordoned, CORDONED_RETRY_AFTER))
     }
 
-    /// Refuses where no target is up, or none takes more.
-    pub(super) fn nowhere(&self, now: Time, rng: &mut impl Rng) -> Verdict {
-        let listed = self.slots.iter().filter(|slot| slot.is_open());
-        let closed = listed.map(|slot| slot.closed(now)).filter(|left| !left.is_zero()).min();
-        match closed {
+    /// Returns a refusal for a lookup that no target can take: all are down, or suspended because
+    /// of a limit.
+    pub(super) fn refuse_unavailable(&self, now: Time, rng: &mut impl Rng) -> Verdict {
+        let listed = self.targets.iter().filter(|state| state.is_in_service());
+        let suspended =
+            listed.map(|state| state.suspended_for(now)).filter(|left| !left.is_zero()).min();
+        match suspended {
             Some(left) => refuse(rng, Reason::Limited, left),
-            None => refuse(rng, Reason::NoTarget, RETRY.0),
+            None => refuse(rng, Reason::NoTarget, RETRY_AFTER.0),
         }
     }
 
-    /// Sends nothing more to a target for some time: it takes no more from all entries together.
-    pub fn close(&mut self, now: Time, target: &id::Target, wait: Duration, why: Exclusion) {
+    /// Suspends a target for `wait`, because it accepts no more requests from all entries together.
+    pub fn suspend(&mut self, now: Time, target: &id::Target, wait: Duration, why: Exclusion) {
         if let Some(at) = self.index.get(target) {
-            self.slots[*at].close(now + wait, why);
+            self.targets[*at].suspend(now + wait, why);
         }
     }
 
-    /// Sends nothing new to these targets, whose failure domains are cordoned, and to all others again.
+    /// Sets the targets in cordoned failure domains. They receive nothing new; all others may
+    /// receive requests again.
     ///
-    /// Entries take turns at those that come back, as at targets that have just come: they look empty to
-    /// all.
+    /// Entries begin one after another to send to targets whose cordon is lifted, as to targets
+    /// that have just joined, since these look empty to all entries.
     pub fn set_cordoned(&mut self, now: Time, cordoned: &BTreeSet<id::Target>) {
-        for slot in &mut self.slots {
-            let before = std::mem::replace(&mut slot.cordoned, cordoned.contains(&slot.name));
-            if before && !slot.cordoned {
-                slot.arrival = Arrival::at(now, &self.order, &slot.name);
+        for state in &mut self.targets {
+            let before = std::mem::replace(&mut state.cordoned, cordoned.contains(&state.name));
+            if before && !state.cordoned {
+                state.stagger = Delay::at(now, &self.order, &state.name);
             }
         }
     }
 
-    /// How many targets are excluded for which reason.
+    /// Counts the targets that are excluded for each reason.
     pub fn exclusions(&self, now: Time) -> BTreeMap<Exclusion, usize> {
         let mut counts = BTreeMap::new();
-        for why in self.slots.iter().filter_map(|slot| slot.exclusion(now)) {
+        for why in self.targets.iter().filter_map(|state| state.exclusion(now)) {
             *counts.entry(why).or_default() += 1;
         }
         counts
--- a/crates/policy/tests/gate_cordon.rs
+++ b/crates/policy/tests/gate_cordon.rs
@@ -6,7 +6,7 @@
 use fireflyhoist_policy::exclusion::Exclusion;
 use fireflyhoist_policy::gate::{Ask, Class, Gate, Outcome, Reason, Report, Settings, Verdict};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::newcomer::Order;
+use fireflyhoist_policy::stagger::Order;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
 use rand::rngs::SmallRng;
@@ -42,10 +42,10 @@
 fn gate() -> Gate {
     let settings = Settings {
         share: false,
-        charge_all: true,
+        charge_overnight: true,
         choices: 6,
-        ahead: true,
-        late: true,
+        prefill_bound: true,
+        shed_late: true,
         ..Settings::default()
     };
     let mut gate = Gate::open(settings);
@@ -177,8 +177,10 @@
     gate.set_cordoned(at(0), &all);
     assert_eq!(gate.offer(at(0), &mut rng, ask(1, at(0))), Verdict::Send(engine(0)));
     let request = id::Request::new(1);
-    assert!(gate.refuges(at(0), &mut rng, request, &BTreeSet::new(), None).is_empty());
-    assert!(gate.refuges(at(0), &mut rng, request, &BTreeSet::new(), Some(0.5)).is_empty());
+    assert!(gate.migration_targets(at(0), &mut rng, request, &BTreeSet::new(), None).is_empty());
+    assert!(
+        gate.migration_targets(at(0), &mut rng, request, &BTreeSet::new(), Some(0.5)).is_empty()
+    );
     let repeat = Ask { avoid: Some(engine(0)), repeat: true, ..ask(2, at(0)) };
     assert_eq!(gate.offer(at(0), &mut rng, repeat), Verdict::Wait);
     let lookup = Ask { class: Class::Lookup, limit: Tokens::default(), ..ask(3, at(0)) };
