--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -4,7 +4,6 @@
 
 use derive_more::{Display, Error};
 use fireflyhoist_policy::cold;
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::cordon;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::intake;
@@ -12,6 +11,7 @@
 use fireflyhoist_policy::poison;
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::presence::Update;
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::roster::Member;
 use fireflyhoist_policy::turn::Ask;
 use fireflyhoist_policy::unit::Tokens;
@@ -141,7 +141,7 @@
     /// The sender has refused a request.
     Refused {
         /// Which.
-        print: Print,
+        print: Fingerprint,
         /// For how many milliseconds it has been wanted.
         age_ms: u64,
     },
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -18,7 +18,6 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::bootstrap::Peers;
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::Change;
 use fireflyhoist_policy::newcomer::Order;
@@ -26,6 +25,7 @@
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::presence::{Presence, Teller, Told, Update};
 use fireflyhoist_policy::rendezvous;
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::roster::{self, Member};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::turn::Ask;
@@ -313,7 +313,7 @@
     }
 
     /// Tells the entries that carry the traffic that a request was refused: any may meet it again.
-    pub(crate) fn share_refused(&self, print: Print, age: Duration) {
+    pub(crate) fn share_refused(&self, print: Fingerprint, age: Duration) {
         self.process.note_refused(print, age);
         let (actives, _) = self.parted();
         self.links.send_all(actives.iter(), &Frame::Refused { print, age_ms: millis(age) });
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -11,7 +11,6 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-use fireflyhoist_policy::comeback::{Ledger, Print};
 use fireflyhoist_policy::cordon::Cordons;
 use fireflyhoist_policy::gate;
 use fireflyhoist_policy::intake::Book;
@@ -19,6 +18,7 @@
 use fireflyhoist_policy::lease::Leases;
 use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::position::Position;
+use fireflyhoist_policy::resubmission::{Fingerprint, Ledger};
 use fireflyhoist_policy::retry;
 use fireflyhoist_policy::route::{Table, Text};
 use fireflyhoist_policy::time::Time;
@@ -247,13 +247,13 @@
     }
 
     /// Notes that a request was refused, here or by another entry, which has been wanted for `age`.
-    pub(crate) fn note_refused(&self, print: Print, age: Duration) {
+    pub(crate) fn note_refused(&self, print: Fingerprint, age: Duration) {
         let now = self.clock.now();
-        self.refused.lock().note(now, print, now - age);
+        self.refused.lock().record(now, print, now - age);
     }
 
     /// Since when a request has been wanted that comes back after a refusal.
-    pub(crate) fn wanted_since(&self, print: Print) -> Option<Time> {
+    pub(crate) fn wanted_since(&self, print: Fingerprint) -> Option<Time> {
         self.refused.lock().since(self.clock.now(), print)
     }
 
--- a/crates/gateway/src/process/state/poison.rs
+++ b/crates/gateway/src/process/state/poison.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::{Leases, Target};
 use fireflyhoist_policy::poison::{self, Incarnation, Ledger, Record, Verdict};
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::time::Time;
 use ntex::time::timeout;
 use parking_lot::Mutex;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Doubt {
     at: Time,
-    print: Print,
+    print: Fingerprint,
     target: Target,
     /// For how long the run had been under way.
     lasted: Duration,
@@ -40,7 +40,7 @@
 pub(super) struct Poison {
     ledger: Mutex<Ledger>,
     doubts: Mutex<VecDeque<Doubt>>,
-    pending: Mutex<HashMap<Print, usize>>,
+    pending: Mutex<HashMap<Fingerprint, usize>>,
     settled: Notify,
 }
 
@@ -48,11 +48,11 @@
 #[derive(Debug)]
 pub(crate) struct Inspection {
     process: Arc<Process>,
-    print: Print,
+    print: Fingerprint,
 }
 
 impl Inspection {
-    pub(crate) fn open(process: &Arc<Process>, print: Print) -> Self {
+    pub(crate) fn open(process: &Arc<Process>, print: Fingerprint) -> Self {
         *process.poison.pending.lock().entry(print).or_default() += 1;
         Self { process: Arc::clone(process), print }
     }
@@ -79,7 +79,7 @@
     pub(crate) fn note_end(
         &self,
         at: Time,
-        print: Print,
+        print: Fingerprint,
         target: &Target,
         lasted: Duration,
     ) -> usize {
@@ -92,7 +92,7 @@
     }
 
     /// Notes that a run broke off at `at` at a target that took a connection right after.
-    pub(crate) fn doubt(&self, at: Time, print: Print, target: &Target, lasted: Duration) {
+    pub(crate) fn doubt(&self, at: Time, print: Fingerprint, target: &Target, lasted: Duration) {
         let mut doubts = self.poison.doubts.lock();
         if doubts.len() >= DOUBTS {
             doubts.pop_front();
@@ -130,12 +130,12 @@
     }
 
     /// Notes that a request was answered whole.
-    pub(crate) fn note_whole(&self, print: Print) {
+    pub(crate) fn note_whole(&self, print: Fingerprint) {
         self.poison.ledger.lock().note_whole(self.clock.now(), print);
     }
 
     /// How many targets have ended under a request.
-    pub(crate) fn ends(&self, print: Print) -> usize {
+    pub(crate) fn ends(&self, print: Fingerprint) -> usize {
         self.poison.ledger.lock().ends(print)
     }
 
@@ -145,13 +145,13 @@
     }
 
     /// Whether a request is sent, tried or refused.
-    pub(crate) fn verdict(&self, print: Print) -> Verdict {
+    pub(crate) fn verdict(&self, print: Fingerprint) -> Verdict {
         self.poison.ledger.lock().verdict(self.clock.now(), print)
     }
 
     /// Waits until it is known what became of the targets at which runs of a request broke off, where
     /// it would be held back if they had ended.
-    pub(crate) async fn settle(&self, print: Print, within: Duration) {
+    pub(crate) async fn settle(&self, print: Fingerprint, within: Duration) {
         let settled = async {
             loop {
                 let notified = self.poison.settled.notified();
@@ -167,7 +167,7 @@
     }
 
     /// Grants a trial where one is due; only for the entry that keeps the request's record.
-    pub(crate) fn try_trial(&self, print: Print) -> Verdict {
+    pub(crate) fn try_trial(&self, print: Fingerprint) -> Verdict {
         let verdict = self.poison.ledger.lock().try_trial(self.clock.now(), print);
         self.note_sent();
         verdict
@@ -199,7 +199,7 @@
     }
 
     /// What is known of one request.
-    pub(crate) fn poison_record(&self, print: Print) -> Option<Record> {
+    pub(crate) fn poison_record(&self, print: Fingerprint) -> Option<Record> {
         self.poison.ledger.lock().records(self.clock.now(), [print]).pop()
     }
 }
--- a/crates/gateway/src/request/broken.rs
+++ b/crates/gateway/src/request/broken.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use derive_more::Display;
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::lease::Target;
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::time::Time;
 use ntex::time::timeout;
 use smol_str::SmolStr;
@@ -34,7 +34,7 @@
 pub(crate) struct Run {
     process: Arc<Process>,
     request: SmolStr,
-    print: Print,
+    print: Fingerprint,
     target: Target,
     /// When it was sent there.
     sent: Time,
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -19,9 +19,9 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::ask::Class;
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::gate::Ask;
 use fireflyhoist_policy::id;
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::route::{Kind, Route, Service, Table};
 use fireflyhoist_policy::time::Time;
 use futures_util::StreamExt;
@@ -83,7 +83,7 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     /// What it asks, by which it is known again where it comes back.
-    pub(crate) print: Print,
+    pub(crate) print: Fingerprint,
     /// Whether it was granted a trial that has not arrived at a target yet.
     pub(crate) trial: Cell<bool>,
     /// Since when it has been wanted: from before it came, where it was refused then.
@@ -214,7 +214,7 @@
     let patience = facts.patience.unwrap_or(PATIENCE).min(route.timeout);
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let workspace_id = workspace.as_ref().map(|workspace| &workspace.id);
-    let print = Print::of(workspace_id, &path, &body);
+    let print = Fingerprint::of(workspace_id, &path, &body);
     let returned = route.kind.is_stream().then(|| worker.process.wanted_since(print)).flatten();
     let wanted = returned.unwrap_or(arrived);
     if returned.is_some() {
--- a/crates/policy/src/late.rs
+++ b/crates/policy/src/late.rs
@@ -11,7 +11,7 @@
 //! **With it** what is late takes room only where a third of an engine would stay free, so that
 //! requests that can still begin on time find some; it is told soon that it was not run, and when to
 //! come back; and when it does come back it is known as the late one that it is
-//! ([`crate::comeback`]), and waits for what is left over for as long as its caller bears.
+//! ([`crate::resubmission`]), and waits for what is left over for as long as its caller bears.
 //!
 //! The price: who was unlucky once is served after all who are not late yet, or not at all. Sizes
 //! and workspaces are no part of it; their turns are [`crate::queue`]'s.
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::comeback::Print;
 use crate::lease::Target;
+use crate::resubmission::Fingerprint;
 use crate::time::Time;
 
 /// Targets that must have ended under a request before it is held back.
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The request.
-    pub print: Print,
+    pub print: Fingerprint,
     /// Targets that ended while they ran it, each with how long ago.
     pub ends: Vec<(Incarnation, u64)>,
     /// For how long its oldest run there had been under way, in the order of `ends`.
@@ -272,17 +272,17 @@
 /// Requests under which targets ended lately, at any entry.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    cases: HashMap<Print, Case>,
+    cases: HashMap<Fingerprint, Case>,
     /// What to forget first: those that are not held back, the oldest of them first.
-    order: BTreeSet<(bool, Time, Print)>,
+    order: BTreeSet<(bool, Time, Fingerprint)>,
     /// Requests that ran at each target that ended.
-    at: HashMap<Incarnation, BTreeSet<Print>>,
+    at: HashMap<Incarnation, BTreeSet<Fingerprint>>,
     /// What others should hear of.
-    news: BTreeSet<Print>,
+    news: BTreeSet<Fingerprint>,
     /// Requests that were answered whole here within [`GOOD`], and when last.
-    good: HashMap<Print, Time>,
+    good: HashMap<Fingerprint, Time>,
     /// The same in the order in which they were noted.
-    goods: VecDeque<(Time, Print)>,
+    goods: VecDeque<(Time, Fingerprint)>,
 }
 
 impl Ledger {
@@ -292,7 +292,7 @@
         &mut self,
         now: Time,
         at: Time,
-        print: Print,
+        print: Fingerprint,
         incarnation: Incarnation,
         lasted: Duration,
     ) -> usize {
@@ -302,7 +302,7 @@
     }
 
     /// Notes that a request was answered whole.
-    pub fn note_whole(&mut self, now: Time, print: Print) {
+    pub fn note_whole(&mut self, now: Time, print: Fingerprint) {
         self.good.insert(print, now);
         self.goods.push_back((now, print));
         while let Some((at, print)) = self.goods.front().copied() {
@@ -320,7 +320,7 @@
     }
 
     /// How many targets have ended under a request since it was last answered whole.
-    pub fn ends(&self, print: Print) -> usize {
+    pub fn ends(&self, print: Fingerprint) -> usize {
         self.cases.get(&print).map_or(0, |case| case.ends.len())
     }
 
@@ -330,7 +330,7 @@
     }
 
     /// What is to become of a request.
-    pub fn verdict(&self, now: Time, print: Print) -> Verdict {
+    pub fn verdict(&self, now: Time, print: Fingerprint) -> Verdict {
         let case = self.cases.get(&print).filter(|case| case.is_held() && !case.is_over(now));
         match case {
             Some(case) if self.unexplained(print, case) >= SUSPECT => case.verdict(now),
@@ -339,7 +339,7 @@
     }
 
     /// Ends that no other request explains better.
-    fn unexplained(&self, print: Print, case: &Case) -> usize {
+    fn unexplained(&self, print: Fingerprint, case: &Case) -> usize {
         let others = |end: &End| {
             let there = self.at.get(&end.incarnation).into_iter().flatten();
             let others = there.filter(move |other| **other != print);
@@ -353,7 +353,7 @@
     }
 
     /// Grants a trial where one is due. Only the entry that keeps the record may ask.
-    pub fn try_trial(&mut self, now: Time, print: Print) -> Verdict {
+    pub fn try_trial(&mut self, now: Time, print: Fingerprint) -> Verdict {
         let verdict = self.verdict(now, print);
         if verdict == Verdict::Trial {
             self.change(now, print, |case| {
@@ -365,7 +365,7 @@
     }
 
     /// Takes in what another entry told; returns the requests of which that was news.
-    pub fn hear(&mut self, now: Time, records: Vec<Record>) -> Vec<Print> {
+    pub fn hear(&mut self, now: Time, records: Vec<Record>) -> Vec<Fingerprint> {
         let ago = |age: u64| now - Duration::from_millis(age);
         let mut changed = Vec::new();
         for record in records {
@@ -401,12 +401,12 @@
     }
 
     /// Marks requests as news again, for others than those that told of them.
-    pub fn pass_on(&mut self, prints: Vec<Print>) {
+    pub fn pass_on(&mut self, prints: Vec<Fingerprint>) {
         self.news.extend(prints);
     }
 
     /// The records of requests that are known.
-    pub fn records(&self, now: Time, prints: impl IntoIterator<Item = Print>) -> Vec<Record> {
+    pub fn records(&self, now: Time, prints: impl IntoIterator<Item = Fingerprint>) -> Vec<Record> {
         prints.into_iter().filter_map(|print| self.record(now, print)).collect()
     }
 
@@ -415,7 +415,7 @@
         self.records(now, self.order.iter().rev().take(most).map(|(.., print)| *print))
     }
 
-    fn record(&self, now: Time, print: Print) -> Option<Record> {
+    fn record(&self, now: Time, print: Fingerprint) -> Option<Record> {
         let case = self.cases.get(&print)?;
         let age = |at: Time| millis(now.since(at));
         Some(Record {
@@ -430,7 +430,7 @@
     }
 
     /// Enters that a request was answered whole here, where targets end under it elsewhere.
-    fn tell_good(&mut self, now: Time, print: Print) {
+    fn tell_good(&mut self, now: Time, print: Fingerprint) {
         let good = self.good.get(&print).copied().filter(|at| now.since(*at) < GOOD);
         if let Some(at) = good {
             self.change(now, print, |case| case.clear(at));
@@ -438,13 +438,18 @@
     }
 
     /// Changes what is known of a request here, which others then should hear of.
-    fn change(&mut self, now: Time, print: Print, change: impl FnOnce(&mut Case) -> bool) {
+    fn change(&mut self, now: Time, print: Fingerprint, change: impl FnOnce(&mut Case) -> bool) {
         if self.merge(now, print, change) {
             self.news.insert(print);
         }
     }
 
-    fn merge(&mut self, now: Time, print: Print, change: impl FnOnce(&mut Case) -> bool) -> bool {
+    fn merge(
+        &mut self,
+        now: Time,
+        print: Fingerprint,
+        change: impl FnOnce(&mut Case) -> bool,
+    ) -> bool {
         let mut case = self.remove(print).unwrap_or_default();
         if case.is_over(now) {
             case = Case::default();
@@ -457,7 +462,7 @@
         changed
     }
 
-    fn insert(&mut self, print: Print, case: Case) {
+    fn insert(&mut self, print: Fingerprint, case: Case) {
         self.order.insert((case.is_held(), case.latest(), print));
         for end in &case.ends {
             self.at.entry(end.incarnation).or_default().insert(print);
@@ -465,7 +470,7 @@
         self.cases.insert(print, case);
     }
 
-    fn remove(&mut self, print: Print) -> Option<Case> {
+    fn remove(&mut self, print: Fingerprint) -> Option<Case> {
         let case = self.cases.remove(&print)?;
         self.order.remove(&(case.is_held(), case.latest(), print));
         for end in &case.ends {
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::poison::{
     BOUND, EARLY, GOOD, HELD, Incarnation, Ledger, RECENT, SUSPECT, Verdict,
 };
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::time::Time;
 use poisoned::{Plan, World, incarnation};
 use yare::parameterized;
@@ -24,13 +24,13 @@
     Time::ZERO + Duration::from_millis(ms)
 }
 
-fn print(workspace: &str, body: &str) -> Print {
+fn print(workspace: &str, body: &str) -> Fingerprint {
     let workspace: id::Workspace = workspace.parse().expect("a name");
-    Print::of(Some(&workspace), "/maps/1", body.as_bytes())
+    Fingerprint::of(Some(&workspace), "/maps/1", body.as_bytes())
 }
 
 /// A ledger of one request under which so many targets ended, one a second.
-fn ended(count: u64) -> (Ledger, Print) {
+fn ended(count: u64) -> (Ledger, Fingerprint) {
     let (mut ledger, map) = (Ledger::default(), print("w", "a village"));
     for nth in 0..count {
         ledger.note_end(at(nth * 1_000), at(nth * 1_000), map, incarnation(nth), LASTED);
--- a/crates/policy/tests/support/poisoned.rs
+++ b/crates/policy/tests/support/poisoned.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::lease::{Start, State, Target};
 use fireflyhoist_policy::poison::{Incarnation, Ledger, Record, SUSPECT, Verdict};
 use fireflyhoist_policy::rendezvous;
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::time::Time;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -204,9 +204,9 @@
         self.seen
     }
 
-    fn print(&self, request: usize) -> Print {
+    fn print(&self, request: usize) -> Fingerprint {
         let body = if self.plan.same { request.min(1) } else { request };
-        Print::of(None, "/maps", body.to_string().as_bytes())
+        Fingerprint::of(None, "/maps", body.to_string().as_bytes())
     }
 
     fn at(&mut self, after: Duration, event: Event) {
