--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -100,7 +100,7 @@
     /// What decides which entry answers.
     pub(crate) fn key(&self) -> String {
         match self {
-            Self::Trial(record) => record.print.to_string(),
+            Self::Trial(record) => record.fingerprint.to_string(),
             Self::Send(word) => word.target.to_string(),
             Self::Cold(word) => word.target.to_string(),
         }
--- a/crates/gateway/src/process/fleet/grant.rs
+++ b/crates/gateway/src/process/fleet/grant.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::poison::Verdict;
+use fireflyhoist_policy::poison::Decision;
 use ntex::time::timeout;
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
@@ -115,9 +115,9 @@
 
     fn decide(&self, question: &Question) -> Option<Duration> {
         match question {
-            Question::Trial(record) => match self.process.try_trial(record.print) {
-                Verdict::Clear | Verdict::Trial => None,
-                Verdict::Refuse(wait) => Some(wait),
+            Question::Trial(record) => match self.process.try_trial(record.fingerprint) {
+                Decision::Allow | Decision::Trial => None,
+                Decision::Refuse(wait) => Some(wait),
             },
             Question::Send(word) => self.process.try_send(&word.target),
             Question::Cold(word) => self.process.try_send(&word.target),
--- a/crates/gateway/src/process/fleet/poison.rs
+++ b/crates/gateway/src/process/fleet/poison.rs
@@ -39,7 +39,7 @@
     }
 
     fn tell_leaves(&self, news: &[Record]) {
-        let matters = |record: &&Record| record.is_held() || record.whole_age.is_some();
+        let matters = |record: &&Record| record.is_suspect() || record.completion_age.is_some();
         let news: Vec<Record> = news.iter().filter(matters).cloned().collect();
         let (_, leaves) = self.parted();
         if !news.is_empty() && self.is_active() {
--- a/crates/gateway/src/process/state/poison.rs
+++ b/crates/gateway/src/process/state/poison.rs
@@ -6,7 +6,7 @@
 
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::{Leases, Target};
-use fireflyhoist_policy::poison::{self, Incarnation, Ledger, Record, Verdict};
+use fireflyhoist_policy::poison::{self, Decision, Incarnation, Ledger, Record};
 use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::time::Time;
 use ntex::time::timeout;
@@ -85,7 +85,7 @@
     ) -> usize {
         let incarnation = Incarnation::of(target);
         let mut ledger = self.poison.ledger.lock();
-        let ends = ledger.note_end(self.clock.now(), at, print, incarnation, lasted);
+        let ends = ledger.record_crash(self.clock.now(), at, print, incarnation, lasted);
         drop(ledger);
         self.note_sent();
         ends
@@ -131,22 +131,22 @@
 
     /// Notes that a request was answered whole.
     pub(crate) fn note_whole(&self, print: Fingerprint) {
-        self.poison.ledger.lock().note_whole(self.clock.now(), print);
+        self.poison.ledger.lock().record_completion(self.clock.now(), print);
     }
 
     /// How many targets have ended under a request.
     pub(crate) fn ends(&self, print: Fingerprint) -> usize {
-        self.poison.ledger.lock().ends(print)
+        self.poison.ledger.lock().crashes(print)
     }
 
     /// Requests that are held back.
     pub(crate) fn held_back(&self) -> usize {
-        self.poison.ledger.lock().held()
+        self.poison.ledger.lock().suspects()
     }
 
     /// Whether a request is sent, tried or refused.
-    pub(crate) fn verdict(&self, print: Fingerprint) -> Verdict {
-        self.poison.ledger.lock().verdict(self.clock.now(), print)
+    pub(crate) fn verdict(&self, print: Fingerprint) -> Decision {
+        self.poison.ledger.lock().decide(self.clock.now(), print)
     }
 
     /// Waits until it is known what became of the targets at which runs of a request broke off, where
@@ -156,7 +156,7 @@
             loop {
                 let notified = self.poison.settled.notified();
                 let pending = self.poison.pending.lock().get(&print).copied().unwrap_or_default();
-                if pending == 0 || self.ends(print) + pending < poison::SUSPECT {
+                if pending == 0 || self.ends(print) + pending < poison::SUSPECT_CRASHES {
                     return;
                 }
                 notified.await;
@@ -167,7 +167,7 @@
     }
 
     /// Grants a trial where one is due; only for the entry that keeps the request's record.
-    pub(crate) fn try_trial(&self, print: Fingerprint) -> Verdict {
+    pub(crate) fn try_trial(&self, print: Fingerprint) -> Decision {
         let verdict = self.poison.ledger.lock().try_trial(self.clock.now(), print);
         self.note_sent();
         verdict
@@ -177,25 +177,25 @@
     pub(crate) fn hear_poison(&self, records: Vec<Record>) -> Vec<Record> {
         let now = self.clock.now();
         let mut ledger = self.poison.ledger.lock();
-        let news = ledger.hear(now, records);
+        let news = ledger.apply(now, records);
         ledger.records(now, news)
     }
 
     /// Tells the records of these again.
     pub(crate) fn pass_on_poison(&self, records: &[Record]) {
-        let prints = records.iter().map(|record| record.print).collect();
-        self.poison.ledger.lock().pass_on(prints);
+        let prints = records.iter().map(|record| record.fingerprint).collect();
+        self.poison.ledger.lock().forward(prints);
         self.note_sent();
     }
 
     /// What others should hear of.
     pub(crate) fn take_poison(&self) -> Vec<Record> {
-        self.poison.ledger.lock().take_news(self.clock.now())
+        self.poison.ledger.lock().take_updates(self.clock.now())
     }
 
     /// What an entry is told when its link opens.
     pub(crate) fn all_poison(&self) -> Vec<Record> {
-        self.poison.ledger.lock().all(self.clock.now(), FIRST)
+        self.poison.ledger.lock().snapshot(self.clock.now(), FIRST)
     }
 
     /// What is known of one request.
--- a/crates/gateway/src/request/held.rs
+++ b/crates/gateway/src/request/held.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::poison::Verdict;
+use fireflyhoist_policy::poison::Decision;
 use ntex::http::Response;
 
 use crate::connection::exchange::CONNECT_TIMEOUT;
@@ -16,8 +16,8 @@
 /// Refuses a request that is held back, before it waits for anything.
 pub(crate) fn refused(worker: &Worker, inquiry: &Inquiry) -> Option<Response> {
     match worker.process.verdict(inquiry.print) {
-        Verdict::Clear | Verdict::Trial => None,
-        Verdict::Refuse(wait) => Some(refuse(worker, inquiry, wait)),
+        Decision::Allow | Decision::Trial => None,
+        Decision::Refuse(wait) => Some(refuse(worker, inquiry, wait)),
     }
 }
 
@@ -37,9 +37,9 @@
     }
     worker.process.settle(inquiry.print, CONNECT_TIMEOUT).await;
     match worker.process.verdict(inquiry.print) {
-        Verdict::Clear => None,
-        Verdict::Refuse(wait) => Some(wait),
-        Verdict::Trial => {
+        Decision::Allow => None,
+        Decision::Refuse(wait) => Some(wait),
+        Decision::Trial => {
             let record = worker.process.poison_record(inquiry.print)?;
             let wait = worker.fleet.ask(Question::Trial(record), TRIAL_TIMEOUT).await;
             if wait.is_none() {
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -1,13 +1,16 @@
-//! Requests that end the targets that run them.
+//! Quarantine of poison requests: requests that crash the targets that run them.
 //!
-//! Pattern `poison`: a request makes each target that runs it crash, and comes again and
-//! again at any entry. Whatever else ran there is cut with it. Entries tell each other under which
-//! requests targets ended; one under which [`SUSPECT`] ended with no whole answer in between is sent
-//! only as a trial, which one entry grants for all.
+//! A poison request crashes each target that runs it, which also aborts everything else that runs
+//! there, and its caller retries it at any entry. Entries share which requests were running on a
+//! target when it crashed. A request with [`SUSPECT_CRASHES`] crashes and no complete answer in
+//! between is a suspect: it is sent only as a trial, and one entry grants trials for the whole
+//! fleet.
 //!
-//! What only ran beside it looks alike until it runs elsewhere: a whole answer clears it, its trial is
-//! granted at once, and an end counts only for the request under which most targets ended.
-//! `docs/DECISIONS.md` has what that costs those that are innocent.
+//! A request that merely ran beside a poison request looks the same until it has run elsewhere.
+//! Three rules limit what this costs: a complete answer clears a request, a suspect's first trial
+//! is granted at once, and a crash counts only against the request that explains it best. That is
+//! the request whose runs lasted about equally long before each crash, and among similar ones the
+//! request with the most crashes.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -20,63 +23,65 @@
 use crate::resubmission::Fingerprint;
 use crate::time::Time;
 
-/// Targets that must have ended under a request before it is held back.
-pub const SUSPECT: usize = 3;
+/// Number of crashed targets that makes a request a suspect.
+pub const SUSPECT_CRASHES: usize = 3;
 
-/// Trials of one request, one after the other, where its ends may be chance.
-pub const TRIALS: u8 = 4;
+/// Maximum number of consecutive trials of a request whose crashes may be a coincidence.
+pub const MAX_TRIALS: u8 = 4;
 
-/// The same where most of its runs ended within [`BRIEF`], which is hardly chance.
-pub const BRIEF_TRIALS: u8 = 2;
+/// Maximum number of trials of a request most of whose runs crashed within [`BRIEF_RUN`], which is
+/// hardly a coincidence.
+pub const MAX_BRIEF_TRIALS: u8 = 2;
 
-/// How long after the last end a further trial is granted then.
-const PAUSE: Duration = Duration::from_secs(15);
+/// Time from the last crash or trial of such a request to its next trial.
+const TRIAL_PAUSE: Duration = Duration::from_secs(15);
 
-/// A run that ends its target does so soon after it begins.
-const BRIEF: Duration = Duration::from_millis(500);
+/// A run of a poison request crashes its target within this time.
+const BRIEF_RUN: Duration = Duration::from_millis(500);
 
-/// Trials of one request later than [`EARLY`] after it became suspect.
-pub const LATE_TRIALS: u8 = 3;
+/// Maximum number of trials that are granted later than [`PROPAGATION`] after a request became
+/// suspect.
+pub const MAX_LATE_TRIALS: u8 = 3;
 
-/// For how long others may not have heard yet that a request is suspect.
-pub const EARLY: Duration = Duration::from_millis(1_500);
+/// Time until all entries know that a request is suspect.
+pub const PROPAGATION: Duration = Duration::from_millis(1_500);
 
-/// How much longer than twice the longest run under which a target ended a trial counts as under way.
-const OUTLIVED: Duration = Duration::from_millis(500);
+/// A trial counts as running for twice the longest run that crashed a target, plus this margin.
+const TRIAL_MARGIN: Duration = Duration::from_millis(500);
 
-/// The longest that a trial without an outcome counts as under way.
+/// Upper bound on the time for which a trial without an outcome counts as running.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long a request below [`SUSPECT`] is remembered after its last end.
-pub const RECENT: Duration = Duration::from_secs(600);
+/// How long a request with fewer than [`SUSPECT_CRASHES`] is remembered after its last crash.
+pub const CRASH_TTL: Duration = Duration::from_secs(600);
 
-/// How long a request that is held back is remembered after its last end or trial.
-pub const HELD: Duration = Duration::from_secs(24 * 3_600);
+/// How long a suspect is remembered after its last crash or trial.
+pub const SUSPECT_TTL: Duration = Duration::from_secs(24 * 3_600);
 
-/// How long after a whole answer ends count for nothing: a request that many ask runs at all targets,
-/// so whatever ends them, it ran there.
-pub const GOOD: Duration = Duration::from_secs(10);
+/// How long after a complete answer crashes do not count: a frequent request runs on all targets,
+/// so it was running on any target that crashes, whatever the cause.
+pub const COMPLETION_GRACE: Duration = Duration::from_secs(10);
 
-/// How long it stays known that a request was answered whole.
-const CLEARED: Duration = Duration::from_secs(30);
+/// How long a complete answer to a request without crashes is remembered.
+const COMPLETION_TTL: Duration = Duration::from_secs(30);
 
-/// How much more the times must differ after which targets ended under another request: one that ends
-/// its targets does so after about the same time.
-const STEADY: Duration = Duration::from_millis(150);
+/// Spreads of run times count as different from this difference on. A poison request crashes its
+/// targets after about the same run time each.
+const SPREAD_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// By how much times that entries tell each other may be off.
-const TOLD: Duration = Duration::from_millis(30);
+/// Maximum error of times that entries exchange, which they send as ages.
+const TIME_ERROR: Duration = Duration::from_millis(30);
 
-/// When to come back while a trial is under way.
-const UNDER_WAY: Duration = Duration::from_secs(2);
+/// Maximum time after which a refused caller may retry while a trial is running.
+const MAX_TRIAL_WAIT: Duration = Duration::from_secs(2);
 
-/// The most requests that are remembered; those that are not held back go first.
-pub const BOUND: usize = 8_192;
+/// Maximum number of requests that are remembered; requests that are not suspect are evicted first.
+pub const MAX_REQUESTS: usize = 8_192;
 
-/// Ends of one request that are remembered.
-const ENDS: usize = 16;
+/// Maximum number of crashes that are remembered for each request.
+const MAX_CRASHES: usize = 16;
 
-/// One start of a target, in 64 bits.
+/// One start of a target, identified by a 64-bit hash of its name and start time.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -84,7 +89,7 @@
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// The start of a target as it is listed.
+    /// Returns the incarnation of a target as the registry lists it.
     pub fn of(target: &Target) -> Self {
         let mut hash = Xxh3::new();
         hash.update(target.id.as_str().as_bytes());
@@ -94,407 +99,444 @@
     }
 }
 
-/// What is to become of a request.
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is sent like any other.
-    Clear,
-    /// It is sent where the entry that keeps its record grants a trial.
+pub enum Decision {
+    /// It may be sent.
+    Allow,
+    /// It may be sent if the entry that owns its record grants a trial.
     Trial,
-    /// It is not sent, and may come back after so long.
+    /// It may not be sent; the caller may retry after this time.
     Refuse(Duration),
 }
 
-/// What entries tell each other of one request; times are ages in milliseconds.
+/// The state of one request as entries exchange it. Times are ages in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The request.
-    pub print: Fingerprint,
-    /// Targets that ended while they ran it, each with how long ago.
-    pub ends: Vec<(Incarnation, u64)>,
-    /// For how long its oldest run there had been under way, in the order of `ends`.
-    #[serde(default)]
-    pub lasted: Vec<u64>,
-    /// Trials granted.
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
+    /// Targets that crashed while they ran the request, each with the age of the crash.
+    #[serde(rename = "ends")]
+    pub crashes: Vec<(Incarnation, u64)>,
+    /// How long the oldest run of the request on each of these targets had lasted, in milliseconds
+    /// and in the order of `crashes`.
+    #[serde(rename = "lasted", default)]
+    pub run_times: Vec<u64>,
+    /// Number of trials granted.
     pub trials: u8,
-    /// Those among them that were granted later than [`EARLY`].
-    #[serde(default)]
-    pub late: u8,
-    /// How long ago the latest was.
+    /// Number of those trials that were granted later than [`PROPAGATION`] after the request became
+    /// suspect.
+    #[serde(rename = "late", default)]
+    pub late_trials: u8,
+    /// Age of the latest trial.
     pub trial_age: u64,
-    /// How long ago it was last answered whole, if it was.
-    pub whole_age: Option<u64>,
+    /// Age of the latest complete answer, if there was one.
+    #[serde(rename = "whole_age")]
+    pub completion_age: Option<u64>,
 }
 
 impl Record {
-    /// Whether enough targets have ended under it for it to be held back.
-    pub fn is_held(&self) -> bool {
-        self.ends.len() >= SUSPECT
+    /// Whether enough targets have crashed for the request to be a suspect.
+    pub fn is_suspect(&self) -> bool {
+        self.crashes.len() >= SUSPECT_CRASHES
     }
 }
 
-/// One target that ended while it ran a request.
+/// A target that crashed while it ran a request.
 #[derive(Clone, Copy, Debug)]
-struct End {
+struct Crash {
     incarnation: Incarnation,
     at: Time,
-    /// For how long the oldest run of the request there had been under way.
-    lasted: Duration,
+    /// How long the oldest run of the request there had lasted.
+    run_time: Duration,
 }
 
-impl End {
-    /// Whether the target had ended, as another request saw it, before this one was sent there.
-    fn is_after(&self, other: &Self) -> bool {
-        self.incarnation == other.incarnation && other.at + TOLD < self.at - self.lasted
+impl Crash {
+    /// Whether the run began after the same target had crashed according to `other`.
+    fn began_after(&self, other: &Self) -> bool {
+        self.incarnation == other.incarnation && other.at + TIME_ERROR < self.at - self.run_time
     }
 }
 
-/// One request under which a target ended.
+/// The state of one request that was running on a target when it crashed.
 #[derive(Clone, Debug, Default)]
-struct Case {
-    ends: Vec<End>,
+struct History {
+    crashes: Vec<Crash>,
     trials: u8,
-    late: u8,
-    trial: Time,
-    whole: Option<Time>,
+    late_trials: u8,
+    last_trial: Time,
+    completed: Option<Time>,
 }
 
-impl Case {
-    fn is_held(&self) -> bool {
-        self.ends.len() >= SUSPECT
+impl History {
+    fn is_suspect(&self) -> bool {
+        self.crashes.len() >= SUSPECT_CRASHES
     }
 
-    fn latest(&self) -> Time {
-        let ends = self.ends.iter().map(|end| end.at);
-        ends.chain([self.trial]).chain(self.whole).max().unwrap_or_default()
+    fn last_event(&self) -> Time {
+        let crashes = self.crashes.iter().map(|crash| crash.at);
+        crashes.chain([self.last_trial]).chain(self.completed).max().unwrap_or_default()
     }
 
-    fn is_over(&self, now: Time) -> bool {
-        let kept = match (self.ends.is_empty(), self.is_held()) {
-            (true, _) => CLEARED,
-            (_, true) => HELD,
-            (_, false) => RECENT,
+    fn is_expired(&self, now: Time) -> bool {
+        let ttl = match (self.crashes.is_empty(), self.is_suspect()) {
+            (true, _) => COMPLETION_TTL,
+            (_, true) => SUSPECT_TTL,
+            (_, false) => CRASH_TTL,
         };
-        now.since(self.latest()) >= kept
+        now.since(self.last_event()) >= ttl
     }
 
-    fn verdict(&self, now: Time) -> Verdict {
-        let left = self.outlived().saturating_sub(now.since(self.trial));
-        let under_way = self.trials > 0 && self.ends.iter().all(|end| end.at < self.trial);
-        if under_way && !left.is_zero() {
-            return Verdict::Refuse(left.min(UNDER_WAY));
+    fn decide(&self, now: Time) -> Decision {
+        let left = self.trial_timeout().saturating_sub(now.since(self.last_trial));
+        let running =
+            self.trials > 0 && self.crashes.iter().all(|crash| crash.at < self.last_trial);
+        if running && !left.is_zero() {
+            return Decision::Refuse(left.min(MAX_TRIAL_WAIT));
         }
-        let most = if self.may_be_chance() { TRIALS } else { BRIEF_TRIALS };
-        if self.trials >= most || (self.is_late(now) && self.late >= LATE_TRIALS) {
-            return Verdict::Refuse(HELD.saturating_sub(now.since(self.latest())));
+        let max = if self.may_be_coincidence() { MAX_TRIALS } else { MAX_BRIEF_TRIALS };
+        if self.trials >= max || (self.is_propagated(now) && self.late_trials >= MAX_LATE_TRIALS) {
+            return Decision::Refuse(SUSPECT_TTL.saturating_sub(now.since(self.last_event())));
         }
-        let pause = self.pause().saturating_sub(now.since(self.latest()));
-        if pause.is_zero() { Verdict::Trial } else { Verdict::Refuse(pause) }
+        let pause = self.trial_pause().saturating_sub(now.since(self.last_event()));
+        if pause.is_zero() { Decision::Trial } else { Decision::Refuse(pause) }
     }
 
-    /// How long after the last end the next trial is granted.
-    fn pause(&self) -> Duration {
-        if self.may_be_chance() || self.trials == 0 { Duration::ZERO } else { PAUSE }
+    /// Returns the time from the last crash or trial to the next trial.
+    fn trial_pause(&self) -> Duration {
+        if self.may_be_coincidence() || self.trials == 0 { Duration::ZERO } else { TRIAL_PAUSE }
     }
 
-    /// Whether its runs had been under way for some time when their targets ended.
-    fn may_be_chance(&self) -> bool {
-        let brief = self.ends.iter().filter(|end| end.lasted < BRIEF).count();
-        2 * brief <= self.ends.len()
+    /// Whether at least half of the runs had lasted for [`BRIEF_RUN`] when their targets crashed.
+    fn may_be_coincidence(&self) -> bool {
+        let brief = self.crashes.iter().filter(|crash| crash.run_time < BRIEF_RUN).count();
+        2 * brief <= self.crashes.len()
     }
 
-    /// After how long a trial has outlived the runs under which targets ended.
-    fn outlived(&self) -> Duration {
-        let longest = self.ends.iter().map(|end| end.lasted).max().unwrap_or_default();
-        (2 * longest + OUTLIVED).min(TRIAL_TIMEOUT)
+    /// Returns the time after which a trial has outlasted the runs that crashed targets.
+    fn trial_timeout(&self) -> Duration {
+        let longest = self.crashes.iter().map(|crash| crash.run_time).max().unwrap_or_default();
+        (2 * longest + TRIAL_MARGIN).min(TRIAL_TIMEOUT)
     }
 
-    /// Whether all entries know by now that it is suspect.
-    fn is_late(&self, now: Time) -> bool {
-        let mut ends: Vec<Time> = self.ends.iter().map(|end| end.at).collect();
-        ends.sort_unstable();
-        ends.get(SUSPECT - 1).is_some_and(|third| now.since(*third) > EARLY)
+    /// Whether all entries know by now that the request is suspect.
+    fn is_propagated(&self, now: Time) -> bool {
+        let mut crashes: Vec<Time> = self.crashes.iter().map(|crash| crash.at).collect();
+        crashes.sort_unstable();
+        crashes.get(SUSPECT_CRASHES - 1).is_some_and(|third| now.since(*third) > PROPAGATION)
     }
 
-    fn grant(&mut self, now: Time) {
-        self.late += u8::from(self.is_late(now));
+    fn grant_trial(&mut self, now: Time) {
+        self.late_trials += u8::from(self.is_propagated(now));
         self.trials += 1;
-        self.trial = now;
+        self.last_trial = now;
     }
 
-    /// Takes in an end; returns whether it is news.
-    fn end(&mut self, new: End) -> bool {
-        let known = self.ends.iter_mut().find(|end| end.incarnation == new.incarnation);
+    /// Adds a crash; returns whether that changed anything.
+    fn add_crash(&mut self, new: Crash) -> bool {
+        let known = self.crashes.iter_mut().find(|crash| crash.incarnation == new.incarnation);
         if let Some(known) = known {
-            let older = new.lasted > known.lasted;
-            known.lasted = known.lasted.max(new.lasted);
-            return older;
+            let longer = new.run_time > known.run_time;
+            known.run_time = known.run_time.max(new.run_time);
+            return longer;
         }
-        let before = self.whole.is_some_and(|whole| new.at < whole + GOOD);
-        if before || self.ends.len() >= ENDS {
+        let excused = self.completed.is_some_and(|completed| new.at < completed + COMPLETION_GRACE);
+        if excused || self.crashes.len() >= MAX_CRASHES {
             return false;
         }
-        self.ends.push(new);
+        self.crashes.push(new);
         true
     }
 
-    /// How much the times differ after which targets ended under its runs.
+    /// Returns the difference between the longest and the shortest run time before a crash.
     fn spread(&self) -> Duration {
-        let lasted = || self.ends.iter().map(|end| end.lasted);
-        lasted().max().unwrap_or_default() - lasted().min().unwrap_or_default()
+        let run_times = || self.crashes.iter().map(|crash| crash.run_time);
+        run_times().max().unwrap_or_default() - run_times().min().unwrap_or_default()
     }
 
-    /// Whether it explains an end better than another request that ran there too, and during whose runs
-    /// `met` targets ended.
-    fn explains(&self, other: &Self, met: usize) -> bool {
+    /// Whether this request explains a crash better than another request that ran on the same
+    /// target and whose runs saw `other_crashes` crashes in all.
+    fn explains_better(&self, other: &Self, other_crashes: usize) -> bool {
         let (own, theirs) = (self.spread(), other.spread());
-        if theirs + STEADY < own {
+        if theirs + SPREAD_TOLERANCE < own {
             return false;
         }
-        if own + STEADY < theirs {
-            return self.ends.len() > 1 && 2 * self.ends.len() >= met;
+        if own + SPREAD_TOLERANCE < theirs {
+            return self.crashes.len() > 1 && 2 * self.crashes.len() >= other_crashes;
         }
-        (self.ends.len(), theirs) > (other.ends.len(), own)
+        (self.crashes.len(), theirs) > (other.crashes.len(), own)
     }
 
-    /// Takes in a whole answer; returns whether it is news.
-    fn clear(&mut self, at: Time) -> bool {
-        if self.whole.is_some_and(|whole| whole >= at) {
+    /// Adds a complete answer, which clears the request; returns whether that changed anything.
+    fn add_completion(&mut self, at: Time) -> bool {
+        if self.completed.is_some_and(|completed| completed >= at) {
             return false;
         }
-        self.whole = Some(at);
-        self.ends.retain(|end| end.at > at + GOOD);
-        (self.trials, self.late) = (0, 0);
+        self.completed = Some(at);
+        self.crashes.retain(|crash| crash.at > at + COMPLETION_GRACE);
+        (self.trials, self.late_trials) = (0, 0);
         true
     }
 }
 
-/// Requests under which targets ended lately, at any entry.
+/// Requests that were running on targets that crashed recently, as seen by all entries.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    cases: HashMap<Fingerprint, Case>,
-    /// What to forget first: those that are not held back, the oldest of them first.
-    order: BTreeSet<(bool, Time, Fingerprint)>,
-    /// Requests that ran at each target that ended.
-    at: HashMap<Incarnation, BTreeSet<Fingerprint>>,
-    /// What others should hear of.
-    news: BTreeSet<Fingerprint>,
-    /// Requests that were answered whole here within [`GOOD`], and when last.
-    good: HashMap<Fingerprint, Time>,
-    /// The same in the order in which they were noted.
-    goods: VecDeque<(Time, Fingerprint)>,
+    histories: HashMap<Fingerprint, History>,
+    /// The order of eviction: requests that are not suspect first, the oldest of them first.
+    eviction: BTreeSet<(bool, Time, Fingerprint)>,
+    /// The requests that ran on each target that crashed.
+    by_incarnation: HashMap<Incarnation, BTreeSet<Fingerprint>>,
+    /// Requests whose records are still to be sent to other entries.
+    updates: BTreeSet<Fingerprint>,
+    /// When each request was last answered completely by this entry, for [`COMPLETION_GRACE`].
+    completions: HashMap<Fingerprint, Time>,
+    /// The same in the order of recording.
+    completion_order: VecDeque<(Time, Fingerprint)>,
 }
 
 impl Ledger {
-    /// Notes that a target ended at `at` while it ran a request, which had been under way there for
-    /// `lasted`; returns how many have.
-    pub fn note_end(
+    /// Records that a target crashed at `at` while it ran a request, whose run there had lasted for
+    /// `run_time`. Returns the number of targets that the request has crashed.
+    pub fn record_crash(
         &mut self,
         now: Time,
         at: Time,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         incarnation: Incarnation,
-        lasted: Duration,
+        run_time: Duration,
     ) -> usize {
-        self.tell_good(now, print);
-        self.change(now, print, |case| case.end(End { incarnation, at, lasted }));
-        self.cases.get(&print).map_or(0, |case| case.ends.len())
-    }
-
-    /// Notes that a request was answered whole.
-    pub fn note_whole(&mut self, now: Time, print: Fingerprint) {
-        self.good.insert(print, now);
-        self.goods.push_back((now, print));
-        while let Some((at, print)) = self.goods.front().copied() {
-            if self.goods.len() <= BOUND && now.since(at) < GOOD {
+        self.announce_completion(now, fingerprint);
+        self.update(now, fingerprint, |history| {
+            history.add_crash(Crash { incarnation, at, run_time })
+        });
+        self.histories.get(&fingerprint).map_or(0, |history| history.crashes.len())
+    }
+
+    /// Records that a request was answered completely.
+    pub fn record_completion(&mut self, now: Time, fingerprint: Fingerprint) {
+        self.completions.insert(fingerprint, now);
+        self.completion_order.push_back((now, fingerprint));
+        while let Some((at, fingerprint)) = self.completion_order.front().copied() {
+            if self.completion_order.len() <= MAX_REQUESTS && now.since(at) < COMPLETION_GRACE {
                 break;
             }
-            self.goods.pop_front();
-            if self.good.get(&print) == Some(&at) {
-                self.good.remove(&print);
+            self.completion_order.pop_front();
+            if self.completions.get(&fingerprint) == Some(&at) {
+                self.completions.remove(&fingerprint);
             }
         }
-        if self.cases.get(&print).is_some_and(|case| !case.ends.is_empty()) {
-            self.change(now, print, |case| case.clear(now));
+        if self.histories.get(&fingerprint).is_some_and(|history| !history.crashes.is_empty()) {
+            self.update(now, fingerprint, |history| history.add_completion(now));
         }
     }
 
-    /// How many targets have ended under a request since it was last answered whole.
-    pub fn ends(&self, print: Fingerprint) -> usize {
-        self.cases.get(&print).map_or(0, |case| case.ends.len())
+    /// Returns the number of targets that have crashed while they ran a request, since its last
+    /// complete answer.
+    pub fn crashes(&self, fingerprint: Fingerprint) -> usize {
+        self.histories.get(&fingerprint).map_or(0, |history| history.crashes.len())
     }
 
-    /// Requests that are held back.
-    pub fn held(&self) -> usize {
-        self.order.iter().rev().take_while(|(held, ..)| *held).count()
+    /// Returns the number of suspects.
+    pub fn suspects(&self) -> usize {
+        self.eviction.iter().rev().take_while(|(suspect, ..)| *suspect).count()
     }
 
-    /// What is to become of a request.
-    pub fn verdict(&self, now: Time, print: Fingerprint) -> Verdict {
-        let case = self.cases.get(&print).filter(|case| case.is_held() && !case.is_over(now));
-        match case {
-            Some(case) if self.unexplained(print, case) >= SUSPECT => case.verdict(now),
-            _ => Verdict::Clear,
+    /// Decides whether a request may be sent.
+    pub fn decide(&self, now: Time, fingerprint: Fingerprint) -> Decision {
+        let history = self.histories.get(&fingerprint);
+        let suspect = history.filter(|history| history.is_suspect() && !history.is_expired(now));
+        match suspect {
+            Some(history) if self.unexplained(fingerprint, history) >= SUSPECT_CRASHES => {
+                history.decide(now)
+            }
+            _ => Decision::Allow,
         }
     }
 
-    /// Ends that no other request explains better.
-    fn unexplained(&self, print: Fingerprint, case: &Case) -> usize {
-        let others = |end: &End| {
-            let there = self.at.get(&end.incarnation).into_iter().flatten();
-            let others = there.filter(move |other| **other != print);
-            others.filter_map(|other| self.cases.get(other))
+    /// Returns the number of a request's crashes that no other request explains better.
+    fn unexplained(&self, fingerprint: Fingerprint, history: &History) -> usize {
+        let others = |crash: &Crash| {
+            let there = self.by_incarnation.get(&crash.incarnation).into_iter().flatten();
+            let others = there.filter(move |other| **other != fingerprint);
+            others.filter_map(|other| self.histories.get(other))
+        };
+        let already_crashed = |crash: &&Crash| {
+            others(crash).any(|other| other.crashes.iter().any(|one| crash.began_after(one)))
         };
-        let was_over =
-            |end: &&End| others(end).any(|other| other.ends.iter().any(|one| end.is_after(one)));
-        let met: Vec<&End> = case.ends.iter().filter(|end| !was_over(end)).collect();
-        let explained = |end: &End| others(end).any(|other| other.explains(case, met.len()));
-        met.iter().filter(|end| !explained(end)).count()
-    }
-
-    /// Grants a trial where one is due. Only the entry that keeps the record may ask.
-    pub fn try_trial(&mut self, now: Time, print: Fingerprint) -> Verdict {
-        let verdict = self.verdict(now, print);
-        if verdict == Verdict::Trial {
-            self.change(now, print, |case| {
-                case.grant(now);
+        let seen: Vec<&Crash> =
+            history.crashes.iter().filter(|crash| !already_crashed(crash)).collect();
+        let explained =
+            |crash: &Crash| others(crash).any(|other| other.explains_better(history, seen.len()));
+        seen.iter().filter(|crash| !explained(crash)).count()
+    }
+
+    /// Grants a trial if one is due. Only the entry that owns the record may call this.
+    pub fn try_trial(&mut self, now: Time, fingerprint: Fingerprint) -> Decision {
+        let decision = self.decide(now, fingerprint);
+        if decision == Decision::Trial {
+            self.update(now, fingerprint, |history| {
+                history.grant_trial(now);
                 true
             });
         }
-        verdict
+        decision
     }
 
-    /// Takes in what another entry told; returns the requests of which that was news.
-    pub fn hear(&mut self, now: Time, records: Vec<Record>) -> Vec<Fingerprint> {
+    /// Merges records of another entry; returns the requests whose state changed.
+    pub fn apply(&mut self, now: Time, records: Vec<Record>) -> Vec<Fingerprint> {
         let ago = |age: u64| now - Duration::from_millis(age);
         let mut changed = Vec::new();
         for record in records {
-            if !record.ends.is_empty() {
-                self.tell_good(now, record.print);
+            if !record.crashes.is_empty() {
+                self.announce_completion(now, record.fingerprint);
             }
-            let took = self.merge(now, record.print, |case| {
-                let mut news = record.whole_age.is_some_and(|age| case.clear(ago(age)));
-                for (nth, (incarnation, age)) in record.ends.iter().enumerate() {
-                    let lasted = record.lasted.get(nth).copied().unwrap_or_default();
-                    let lasted = Duration::from_millis(lasted);
-                    news |= case.end(End { incarnation: *incarnation, at: ago(*age), lasted });
+            let merged = self.merge(now, record.fingerprint, |history| {
+                let mut changed =
+                    record.completion_age.is_some_and(|age| history.add_completion(ago(age)));
+                for (nth, (incarnation, age)) in record.crashes.iter().enumerate() {
+                    let run_time = record.run_times.get(nth).copied().unwrap_or_default();
+                    let run_time = Duration::from_millis(run_time);
+                    changed |= history.add_crash(Crash {
+                        incarnation: *incarnation,
+                        at: ago(*age),
+                        run_time,
+                    });
                 }
-                if record.trials > case.trials && !case.ends.is_empty() {
-                    case.trials = record.trials;
-                    case.late = case.late.max(record.late);
-                    case.trial = ago(record.trial_age);
-                    news = true;
+                if record.trials > history.trials && !history.crashes.is_empty() {
+                    history.trials = record.trials;
+                    history.late_trials = history.late_trials.max(record.late_trials);
+                    history.last_trial = ago(record.trial_age);
+                    changed = true;
                 }
-                news
+                changed
             });
-            if took {
-                changed.push(record.print);
+            if merged {
+                changed.push(record.fingerprint);
             }
         }
         changed
     }
 
-    /// What others should hear of since this was last asked.
-    pub fn take_news(&mut self, now: Time) -> Vec<Record> {
-        let news = std::mem::take(&mut self.news);
-        self.records(now, news)
+    /// Takes the records that changed here since the last call, to be sent to other entries.
+    pub fn take_updates(&mut self, now: Time) -> Vec<Record> {
+        let updates = std::mem::take(&mut self.updates);
+        self.records(now, updates)
     }
 
-    /// Marks requests as news again, for others than those that told of them.
-    pub fn pass_on(&mut self, prints: Vec<Fingerprint>) {
-        self.news.extend(prints);
+    /// Adds requests that another entry reported to the next updates, for entries that it does not
+    /// report to.
+    pub fn forward(&mut self, fingerprints: Vec<Fingerprint>) {
+        self.updates.extend(fingerprints);
     }
 
-    /// The records of requests that are known.
-    pub fn records(&self, now: Time, prints: impl IntoIterator<Item = Fingerprint>) -> Vec<Record> {
-        prints.into_iter().filter_map(|print| self.record(now, print)).collect()
+    /// Returns the records of those requests that are known.
+    pub fn records(
+        &self,
+        now: Time,
+        fingerprints: impl IntoIterator<Item = Fingerprint>,
+    ) -> Vec<Record> {
+        let fingerprints = fingerprints.into_iter();
+        fingerprints.filter_map(|fingerprint| self.record(now, fingerprint)).collect()
     }
 
-    /// The records that matter most, at most `most`, for an entry that knows none.
-    pub fn all(&self, now: Time, most: usize) -> Vec<Record> {
-        self.records(now, self.order.iter().rev().take(most).map(|(.., print)| *print))
+    /// Returns at most `max` records for an entry that has none: suspects first, the latest of them
+    /// first.
+    pub fn snapshot(&self, now: Time, max: usize) -> Vec<Record> {
+        let latest_first = self.eviction.iter().rev().take(max);
+        self.records(now, latest_first.map(|(.., fingerprint)| *fingerprint))
     }
 
-    fn record(&self, now: Time, print: Fingerprint) -> Option<Record> {
-        let case = self.cases.get(&print)?;
+    fn record(&self, now: Time, fingerprint: Fingerprint) -> Option<Record> {
+        let history = self.histories.get(&fingerprint)?;
         let age = |at: Time| millis(now.since(at));
         Some(Record {
-            print,
-            ends: case.ends.iter().map(|end| (end.incarnation, age(end.at))).collect(),
-            lasted: case.ends.iter().map(|end| millis(end.lasted)).collect(),
-            trials: case.trials,
-            late: case.late,
-            trial_age: age(case.trial),
-            whole_age: case.whole.map(age),
+            fingerprint,
+            crashes: history.crashes.iter().map(|one| (one.incarnation, age(one.at))).collect(),
+            run_times: history.crashes.iter().map(|crash| millis(crash.run_time)).collect(),
+            trials: history.trials,
+            late_trials: history.late_trials,
+            trial_age: age(history.last_trial),
+            completion_age: history.completed.map(age),
         })
     }
 
-    /// Enters that a request was answered whole here, where targets end under it elsewhere.
-    fn tell_good(&mut self, now: Time, print: Fingerprint) {
-        let good = self.good.get(&print).copied().filter(|at| now.since(*at) < GOOD);
-        if let Some(at) = good {
-            self.change(now, print, |case| case.clear(at));
+    /// Adds this entry's latest complete answer to the history of a request for which crashes are
+    /// reported, and announces it.
+    fn announce_completion(&mut self, now: Time, fingerprint: Fingerprint) {
+        let completed = self.completions.get(&fingerprint).copied();
+        if let Some(at) = completed.filter(|at| now.since(*at) < COMPLETION_GRACE) {
+            self.update(now, fingerprint, |history| history.add_completion(at));
         }
     }
 
-    /// Changes what is known of a request here, which others then should hear of.
-    fn change(&mut self, now: Time, print: Fingerprint, change: impl FnOnce(&mut Case) -> bool) {
-        if self.merge(now, print, change) {
-            self.news.insert(print);
+    /// Changes the state of a request and announces the change to other entries.
+    fn update(
+        &mut self,
+        now: Time,
+        fingerprint: Fingerprint,
+        change: impl FnOnce(&mut History) -> bool,
+    ) {
+        if self.merge(now, fingerprint, change) {
+            self.updates.insert(fingerprint);
         }
     }
 
+    /// Changes the state of a request without an announcement; returns whether it changed.
     fn merge(
         &mut self,
         now: Time,
-        print: Fingerprint,
-        change: impl FnOnce(&mut Case) -> bool,
+        fingerprint: Fingerprint,
+        change: impl FnOnce(&mut History) -> bool,
     ) -> bool {
-        let mut case = self.remove(print).unwrap_or_default();
-        if case.is_over(now) {
-            case = Case::default();
+        let mut history = self.remove(fingerprint).unwrap_or_default();
+        if history.is_expired(now) {
+            history = History::default();
         }
-        let changed = change(&mut case);
-        if changed || !case.ends.is_empty() || case.whole.is_some() {
-            self.insert(print, case);
+        let changed = change(&mut history);
+        if changed || !history.crashes.is_empty() || history.completed.is_some() {
+            self.insert(fingerprint, history);
         }
-        self.forget(now);
+        self.evict(now);
         changed
     }
 
-    fn insert(&mut self, print: Fingerprint, case: Case) {
-        self.order.insert((case.is_held(), case.latest(), print));
-        for end in &case.ends {
-            self.at.entry(end.incarnation).or_default().insert(print);
+    fn insert(&mut self, fingerprint: Fingerprint, history: History) {
+        self.eviction.insert((history.is_suspect(), history.last_event(), fingerprint));
+        for crash in &history.crashes {
+            self.by_incarnation.entry(crash.incarnation).or_default().insert(fingerprint);
         }
-        self.cases.insert(print, case);
+        self.histories.insert(fingerprint, history);
     }
 
-    fn remove(&mut self, print: Fingerprint) -> Option<Case> {
-        let case = self.cases.remove(&print)?;
-        self.order.remove(&(case.is_held(), case.latest(), print));
-        for end in &case.ends {
-            if let Some(there) = self.at.get_mut(&end.incarnation) {
-                there.remove(&print);
+    fn remove(&mut self, fingerprint: Fingerprint) -> Option<History> {
+        let history = self.histories.remove(&fingerprint)?;
+        self.eviction.remove(&(history.is_suspect(), history.last_event(), fingerprint));
+        for crash in &history.crashes {
+            if let Some(there) = self.by_incarnation.get_mut(&crash.incarnation) {
+                there.remove(&fingerprint);
                 if there.is_empty() {
-                    self.at.remove(&end.incarnation);
+                    self.by_incarnation.remove(&crash.incarnation);
                 }
             }
         }
-        Some(case)
+        Some(history)
     }
 
-    /// Drops what is over, and the least important where there is too much.
-    fn forget(&mut self, now: Time) {
-        while let Some(first) = self.order.first().copied() {
-            let (.., print) = first;
-            let over = self.cases.get(&print).is_none_or(|case| case.is_over(now));
-            if !over && self.order.len() <= BOUND {
+    /// Evicts expired requests, and the first in the order of eviction while there are more than
+    /// [`MAX_REQUESTS`].
+    fn evict(&mut self, now: Time) {
+        while let Some(first) = self.eviction.first().copied() {
+            let (.., fingerprint) = first;
+            let history = self.histories.get(&fingerprint);
+            let expired = history.is_none_or(|history| history.is_expired(now));
+            if !expired && self.eviction.len() <= MAX_REQUESTS {
                 return;
             }
-            self.order.remove(&first);
-            self.remove(print);
-            self.news.remove(&print);
+            self.eviction.remove(&first);
+            self.remove(fingerprint);
+            self.updates.remove(&fingerprint);
         }
     }
 }
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -1,279 +1,318 @@
-//! Pattern `poison`: a request that ends the targets that run it, and all that ran beside it.
+//! Poison requests, which crash the targets that run them and abort what runs beside them.
 
-#[path = "support/poisoned.rs"]
-mod poisoned;
+#[path = "support/crash_simulation.rs"]
+mod simulation;
 
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::poison::{
-    BOUND, EARLY, GOOD, HELD, Incarnation, Ledger, RECENT, SUSPECT, Verdict,
+    COMPLETION_GRACE, CRASH_TTL, Decision, Incarnation, Ledger, MAX_REQUESTS, PROPAGATION,
+    SUSPECT_CRASHES, SUSPECT_TTL,
 };
 use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::time::Time;
-use poisoned::{Plan, World, incarnation};
+use simulation::{Scenario, Simulation, incarnation};
 use yare::parameterized;
 
-/// Sends of a poison that may follow once three targets have ended and everyone could know it.
-const MORE: usize = 3;
+/// Maximum sends of a poison request once three targets have crashed and all entries can know it.
+const MAX_LATE_SENDS: usize = 3;
 
-/// For how long runs had been under way when their targets ended.
-const LASTED: Duration = Duration::from_millis(400);
+/// How long runs had lasted when their targets crashed.
+const RUN_TIME: Duration = Duration::from_millis(400);
 
 fn at(ms: u64) -> Time {
     Time::ZERO + Duration::from_millis(ms)
 }
 
-fn print(workspace: &str, body: &str) -> Fingerprint {
+fn fingerprint(workspace: &str, body: &str) -> Fingerprint {
     let workspace: id::Workspace = workspace.parse().expect("a name");
     Fingerprint::of(Some(&workspace), "/maps/1", body.as_bytes())
 }
 
-/// A ledger of one request under which so many targets ended, one a second.
-fn ended(count: u64) -> (Ledger, Fingerprint) {
-    let (mut ledger, map) = (Ledger::default(), print("w", "a village"));
+/// A ledger with one request and this number of crashes, one a second.
+fn crashed(count: u64) -> (Ledger, Fingerprint) {
+    let (mut ledger, map) = (Ledger::default(), fingerprint("w", "a village"));
     for nth in 0..count {
-        ledger.note_end(at(nth * 1_000), at(nth * 1_000), map, incarnation(nth), LASTED);
+        ledger.record_crash(at(nth * 1_000), at(nth * 1_000), map, incarnation(nth), RUN_TIME);
     }
     (ledger, map)
 }
 
-/// Guards against each of many entries sending a poison anew because it counts for itself.
+/// Guards against each of many entries sending a poison request anew because it counts only the
+/// crashes that it saw itself.
 #[parameterized(
     two_entries = { 2, 3.0, false },
     three_hundred_entries = { 300, 3.0, false },
-    asked_in_a_rush = { 300, 60.0, false },
-    seldom_asked = { 300, 0.1, false },
+    high_rate = { 300, 60.0, false },
+    low_rate = { 300, 0.1, false },
     partition = { 300, 3.0, true },
 )]
-fn a_poison_reaches_few_targets(members: usize, asks: f64, cut: bool) {
-    let plan = Plan { members, poison_asks: asks, cut, seconds: 150, ..Plan::default() };
-    let seen = World::open(plan).play();
-    assert!(seen.poison_asks >= 15, "{seen:?}");
-    assert!(seen.more <= MORE, "{seen:?}");
+fn poison_request_crashes_few_targets(entries: usize, poison_rate: f64, partition: bool) {
+    let scenario =
+        Scenario { entries, poison_rate, partition, seconds: 150, ..Scenario::default() };
+    let summary = Simulation::new(scenario).run();
+    assert!(summary.poison_requests >= 15, "{summary:?}");
+    assert!(summary.late_sends <= MAX_LATE_SENDS, "{summary:?}");
 }
 
-/// Guards against those that ran beside a poison being held back with it.
+/// Guards against requests that run beside a poison request being refused with it.
 #[parameterized(
     twenty_four_at_a_target = { 24 },
     hundreds_at_a_target = { 400 },
 )]
-fn what_runs_beside_a_poison_is_served(slots: usize) {
+fn requests_beside_poison_are_served(slots: usize) {
     let rate = slots as f64 * 3.0;
-    let plan = Plan { slots, rate, targets: 12, poison_asks: 6.0, ..Plan::default() };
-    let seen = World::open(plan).play();
-    assert!(seen.cut > slots / 4, "{seen:?}");
-    assert_eq!((seen.refused, seen.lost), (0, 0), "{seen:?}");
-    assert!(seen.more <= MORE, "{seen:?}");
+    let scenario = Scenario { slots, rate, targets: 12, poison_rate: 6.0, ..Scenario::default() };
+    let summary = Simulation::new(scenario).run();
+    assert!(summary.aborted > slots / 4, "{summary:?}");
+    assert_eq!((summary.refused, summary.unserved), (0, 0), "{summary:?}");
+    assert!(summary.late_sends <= MAX_LATE_SENDS, "{summary:?}");
 }
 
-/// Guards against a request that many ask being held back for seconds where a poison ends all targets
-/// before any of its runs is whole.
+/// Guards against a frequent request being refused for seconds because a poison request crashes all
+/// targets before any of its runs completes.
 #[test]
-fn what_many_ask_is_served_from_a_cold_start() {
-    let (mut asked, mut refused, mut longest) = (0, 0, Duration::ZERO);
+fn frequent_request_is_served_from_cold_start() {
+    let (mut requests, mut refused, mut longest) = (0, 0, Duration::ZERO);
     for seed in 0..20 {
-        let plan =
-            Plan { targets: 4, rate: 20.0, same: true, seconds: 30, seed, ..Plan::default() };
-        let seen = World::open(plan).play();
-        (asked, refused) = (asked + seen.asked, refused + seen.refused);
-        longest = longest.max(seen.longest);
+        let scenario = Scenario {
+            targets: 4,
+            rate: 20.0,
+            identical: true,
+            seconds: 30,
+            seed,
+            ..Scenario::default()
+        };
+        let summary = Simulation::new(scenario).run();
+        (requests, refused) = (requests + summary.requests, refused + summary.refused);
+        longest = longest.max(summary.longest);
     }
-    println!("{refused} of {asked} refused, at most {longest:?}");
-    assert!(refused * 100 < asked, "{refused} of {asked} refused, at most {longest:?}");
+    println!("{refused} of {requests} refused, at most {longest:?}");
+    assert!(refused * 100 < requests, "{refused} of {requests} refused, at most {longest:?}");
 }
 
-/// Guards against requests under which three targets in a row end by chance being refused.
+/// Guards against refusing a request whose target crashed three times in a row for unrelated
+/// reasons.
 #[test]
-fn what_meets_three_ends_by_chance_is_served() {
-    let plan = Plan { poison_asks: 0.0, series: 3, targets: 12, rate: 60.0, ..Plan::default() };
-    let seen = World::open(plan).play();
-    assert!(seen.thrice > 0, "{seen:?}");
-    assert_eq!((seen.refused, seen.lost), (0, 0), "{seen:?}");
+fn three_unrelated_crashes_do_not_block_a_request() {
+    let scenario = Scenario {
+        poison_rate: 0.0,
+        unrelated_crashes: 3,
+        targets: 12,
+        rate: 60.0,
+        ..Scenario::default()
+    };
+    let summary = Simulation::new(scenario).run();
+    assert!(summary.suspects > 0, "{summary:?}");
+    assert_eq!((summary.refused, summary.unserved), (0, 0), "{summary:?}");
 }
 
-/// Guards against a drill in which a target ends each second refusing more than a few, or for good.
+/// Guards against more than a few refusals, or permanent ones, while a target crashes each second
+/// for unrelated reasons.
 #[test]
-fn what_meets_many_ends_by_chance_is_mostly_served() {
-    let (mut asked, mut refused, mut lost, mut longest) = (0, 0, 0, Duration::ZERO);
+fn many_unrelated_crashes_rarely_block_a_request() {
+    let (mut requests, mut refused, mut unserved, mut longest) = (0, 0, 0, Duration::ZERO);
     for seed in 0..20 {
-        let plan =
-            Plan { poison_asks: 0.0, series: 6, targets: 12, rate: 60.0, seed, ..Plan::default() };
-        let seen = World::open(plan).play();
-        (asked, refused, lost) = (asked + seen.asked, refused + seen.refused, lost + seen.lost);
-        longest = longest.max(seen.longest);
+        let scenario = Scenario {
+            poison_rate: 0.0,
+            unrelated_crashes: 6,
+            targets: 12,
+            rate: 60.0,
+            seed,
+            ..Scenario::default()
+        };
+        let summary = Simulation::new(scenario).run();
+        (requests, refused) = (requests + summary.requests, refused + summary.refused);
+        unserved += summary.unserved;
+        longest = longest.max(summary.longest);
     }
-    let share = refused as f64 / asked as f64;
-    println!("{refused} of {asked} refused ({share:.4}), {lost} for good, at most {longest:?}");
-    assert!(share < 0.001 && lost == 0);
+    let share = refused as f64 / requests as f64;
+    println!(
+        "{refused} of {requests} refused ({share:.4}), {unserved} unserved, at most {longest:?}"
+    );
+    assert!(share < 0.001 && unserved == 0);
 }
 
-/// Guards against another caller, or another body, being held back for a poison.
+/// Guards against requests of another workspace or with another body being refused as poison.
 #[test]
-fn only_the_same_request_of_the_same_caller_is_held_back() {
-    let (ledger, map) = ended(5);
-    assert_ne!(ledger.verdict(at(5_000), map), Verdict::Clear);
-    for other in [print("v", "a village"), print("w", "another village")] {
-        assert_eq!(ledger.verdict(at(5_000), other), Verdict::Clear);
+fn only_same_request_of_same_workspace_is_blocked() {
+    let (ledger, map) = crashed(5);
+    assert_ne!(ledger.decide(at(5_000), map), Decision::Allow);
+    for other in [fingerprint("v", "a village"), fingerprint("w", "another village")] {
+        assert_eq!(ledger.decide(at(5_000), other), Decision::Allow);
     }
 }
 
-/// Guards against an innocent request being held back after it has run.
+/// Guards against an innocent request staying blocked after it has been answered.
 #[test]
-fn a_whole_answer_clears_a_request() {
-    let (mut ledger, map) = ended(3);
-    assert_eq!(ledger.try_trial(at(3_000), map), Verdict::Trial);
+fn complete_answer_clears_request() {
+    let (mut ledger, map) = crashed(3);
+    assert_eq!(ledger.try_trial(at(3_000), map), Decision::Trial);
     assert!(
-        matches!(ledger.verdict(at(3_100), map), Verdict::Refuse(wait) if wait <= Duration::from_secs(2))
+        matches!(ledger.decide(at(3_100), map), Decision::Refuse(wait) if wait <= Duration::from_secs(2))
     );
-    ledger.note_whole(at(4_000), map);
-    assert_eq!(ledger.verdict(at(4_000), map), Verdict::Clear);
-    // What others noted before arrives late.
-    let (late, _) = ended(3);
-    ledger.hear(at(4_100), late.all(at(4_000), 9));
-    assert_eq!(ledger.verdict(at(4_100), map), Verdict::Clear);
+    ledger.record_completion(at(4_000), map);
+    assert_eq!(ledger.decide(at(4_000), map), Decision::Allow);
+    // Earlier records of another entry arrive late.
+    let (late, _) = crashed(3);
+    ledger.apply(at(4_100), late.snapshot(at(4_000), 9));
+    assert_eq!(ledger.decide(at(4_100), map), Decision::Allow);
 }
 
-/// Guards against a request that many ask, and which so runs at each target that ends, being held back.
+/// Guards against blocking a frequent request because it was running on each target that crashed.
 #[test]
-fn what_was_answered_whole_just_before_is_not_to_blame() {
-    let lookup = print("w", "a lookup");
+fn crashes_shortly_after_complete_answer_do_not_count() {
+    let lookup = fingerprint("w", "a lookup");
     let (mut one, mut other) = (Ledger::default(), Ledger::default());
-    other.note_whole(at(1_000), lookup);
+    other.record_completion(at(1_000), lookup);
     (0..5).for_each(|nth| {
-        _ = one.note_end(
+        _ = one.record_crash(
             at(2_000 + nth * 100),
             at(2_000 + nth * 100),
             lookup,
             incarnation(nth),
-            LASTED,
+            RUN_TIME,
         )
     });
-    assert_ne!(one.verdict(at(3_000), lookup), Verdict::Clear);
-    other.hear(at(3_000), one.take_news(at(3_000)));
-    one.hear(at(3_050), other.take_news(at(3_050)));
+    assert_ne!(one.decide(at(3_000), lookup), Decision::Allow);
+    other.apply(at(3_000), one.take_updates(at(3_000)));
+    one.apply(at(3_050), other.take_updates(at(3_050)));
     for ledger in [&one, &other] {
-        assert_eq!(ledger.verdict(at(3_100), lookup), Verdict::Clear);
+        assert_eq!(ledger.decide(at(3_100), lookup), Decision::Allow);
     }
-    // Later it counts again.
-    let later = at(1_000) + GOOD;
-    (5..9).for_each(|nth| _ = one.note_end(later, later, lookup, incarnation(nth), LASTED));
-    assert_ne!(one.verdict(later, lookup), Verdict::Clear);
+    // Crashes after the grace period count again.
+    let later = at(1_000) + COMPLETION_GRACE;
+    (5..9).for_each(|nth| _ = one.record_crash(later, later, lookup, incarnation(nth), RUN_TIME));
+    assert_ne!(one.decide(later, lookup), Decision::Allow);
 }
 
-/// Guards against one end being counted once for each entry that saw it.
+/// Guards against one crash being counted once for each entry that reports it.
 #[test]
-fn an_end_that_many_saw_counts_once() {
-    let (mut ledger, map) = (Ledger::default(), print("w", "a village"));
+fn crash_reported_by_many_entries_counts_once() {
+    let (mut ledger, map) = (Ledger::default(), fingerprint("w", "a village"));
     for nth in 0..20 {
         let mut other = Ledger::default();
-        other.note_end(at(nth), at(nth), map, incarnation(1), LASTED);
-        ledger.hear(at(100), other.take_news(at(50)));
+        other.record_crash(at(nth), at(nth), map, incarnation(1), RUN_TIME);
+        ledger.apply(at(100), other.take_updates(at(50)));
     }
-    assert_eq!(ledger.ends(map), 1);
-    assert_eq!(ledger.verdict(at(100), map), Verdict::Clear);
+    assert_eq!(ledger.crashes(map), 1);
+    assert_eq!(ledger.decide(at(100), map), Decision::Allow);
 }
 
-/// Guards against a request being blamed for targets that had ended before it was sent there.
+/// Guards against crashes being attributed to a request that was sent after them.
 #[test]
-fn what_is_sent_to_a_target_that_has_ended_did_not_end_it() {
-    let (mut ledger, map) = ended(3);
-    let late = print("w", "sent later");
+fn request_sent_after_a_crash_did_not_cause_it() {
+    let (mut ledger, map) = crashed(3);
+    let late = fingerprint("w", "sent later");
     for nth in 0..3 {
         let now = at(nth * 1_000 + 60);
-        ledger.note_end(now, now, late, incarnation(nth), Duration::from_millis(5));
+        ledger.record_crash(now, now, late, incarnation(nth), Duration::from_millis(5));
     }
-    assert_eq!(ledger.verdict(at(3_000), late), Verdict::Clear);
-    assert_ne!(ledger.verdict(at(3_000), map), Verdict::Clear);
+    assert_eq!(ledger.decide(at(3_000), late), Decision::Allow);
+    assert_ne!(ledger.decide(at(3_000), map), Decision::Allow);
 }
 
-/// Guards against trials without end, and against none for one that met its ends by chance.
+/// Guards against unlimited trials, and against no trial for a request whose crashes may be a
+/// coincidence.
 #[parameterized(
-    in_a_rush = { 500, 0, 2 },
-    each_second = { 1_000, 0, 2 },
-    that_last_long = { 1_000, 600, 4 },
-    seldom = { 10_000, 0, 2 },
-    seldom_and_long = { 10_000, 600, MORE },
-    far_between = { 600_000, 0, 2 },
+    every_half_second = { 500, 0, 2 },
+    every_second = { 1_000, 0, 2 },
+    every_second_with_long_runs = { 1_000, 600, 4 },
+    every_ten_seconds = { 10_000, 0, 2 },
+    every_ten_seconds_with_long_runs = { 10_000, 600, MAX_LATE_SENDS },
+    every_ten_minutes = { 600_000, 0, 2 },
 )]
-fn trials_are_few(every_ms: u64, longer_ms: u64, most: usize) {
-    let lasted = LASTED + Duration::from_millis(longer_ms);
-    let (mut ledger, map) = (Ledger::default(), print("w", "a village"));
+fn trials_are_bounded(every_ms: u64, longer_ms: u64, max: usize) {
+    let run_time = RUN_TIME + Duration::from_millis(longer_ms);
+    let (mut ledger, map) = (Ledger::default(), fingerprint("w", "a village"));
     (0..3).for_each(|nth| {
-        _ = ledger.note_end(at(nth * 1_000), at(nth * 1_000), map, incarnation(nth), lasted)
+        _ = ledger.record_crash(at(nth * 1_000), at(nth * 1_000), map, incarnation(nth), run_time)
     });
     let third = 2_000;
     let mut granted = Vec::new();
     for nth in 1..2_000 {
         let now = third + nth * every_ms;
-        if now < 20 * 3_600 * 1_000 && ledger.try_trial(at(now), map) == Verdict::Trial {
+        if now < 20 * 3_600 * 1_000 && ledger.try_trial(at(now), map) == Decision::Trial {
             granted.push(now);
-            ledger.note_end(
+            ledger.record_crash(
                 at(now + every_ms / 2),
                 at(now + every_ms / 2),
                 map,
                 incarnation(now),
-                LASTED,
+                RUN_TIME,
             );
         }
     }
-    assert_eq!(granted.len(), most, "{granted:?}");
-    let early = u64::try_from(EARLY.as_millis()).expect("milliseconds");
-    let late = granted.iter().filter(|now| **now > third + early).count();
-    assert!(late <= MORE, "{granted:?}");
+    assert_eq!(granted.len(), max, "{granted:?}");
+    let propagation = u64::try_from(PROPAGATION.as_millis()).expect("milliseconds");
+    let late = granted.iter().filter(|now| **now > third + propagation).count();
+    assert!(late <= MAX_LATE_SENDS, "{granted:?}");
 }
 
-/// Guards against a request that was tried being tried again while that run is under way.
+/// Guards against a second trial of a request while the first one is still running.
 #[test]
-fn trials_come_one_after_the_other() {
-    let (mut ledger, map) = ended(3);
-    let tries = (3_000..4_000).filter(|ms| ledger.try_trial(at(*ms), map) == Verdict::Trial);
-    assert_eq!(tries.collect::<Vec<_>>(), [3_000]);
+fn trials_do_not_overlap() {
+    let (mut ledger, map) = crashed(3);
+    let trials = (3_000..4_000).filter(|ms| ledger.try_trial(at(*ms), map) == Decision::Trial);
+    assert_eq!(trials.collect::<Vec<_>>(), [3_000]);
 }
 
-/// Guards against a request being held back for as long as the processes live.
+/// Guards against a request being blocked for as long as the processes live.
 #[test]
-fn what_is_known_is_forgotten() {
-    let (ledger, map) = ended(2);
+fn crashes_expire() {
+    let (ledger, map) = crashed(2);
     let mut twice = ledger;
-    twice.note_end(at(1_000) + RECENT, at(1_000) + RECENT, map, incarnation(9), LASTED);
-    assert_eq!(twice.ends(map), 1);
-    let (ledger, map) = ended(3);
-    assert_eq!(ledger.verdict(at(1_999) + HELD, map), Verdict::Trial);
-    assert_eq!(ledger.verdict(at(2_000) + HELD, map), Verdict::Clear);
+    twice.record_crash(at(1_000) + CRASH_TTL, at(1_000) + CRASH_TTL, map, incarnation(9), RUN_TIME);
+    assert_eq!(twice.crashes(map), 1);
+    let (ledger, map) = crashed(3);
+    assert_eq!(ledger.decide(at(1_999) + SUSPECT_TTL, map), Decision::Trial);
+    assert_eq!(ledger.decide(at(2_000) + SUSPECT_TTL, map), Decision::Allow);
 }
 
-/// Guards against a caller with millions of bodies filling the memory, or driving out what is held back.
+/// Guards against a caller with millions of bodies filling the memory or evicting suspects.
 #[test]
-fn what_is_kept_is_bounded() {
-    let (mut ledger, map) = ended(3);
+fn memory_is_bounded() {
+    let (mut ledger, map) = crashed(3);
     for nth in 0..100_000_u64 {
-        let body = print("w", &nth.to_string());
-        ledger.note_end(at(3_000 + nth), at(3_000 + nth), body, incarnation(nth % 50), LASTED);
+        let body = fingerprint("w", &nth.to_string());
+        ledger.record_crash(
+            at(3_000 + nth),
+            at(3_000 + nth),
+            body,
+            incarnation(nth % 50),
+            RUN_TIME,
+        );
     }
-    assert_eq!(ledger.all(at(200_000), usize::MAX).len(), BOUND);
-    assert_eq!(ledger.verdict(at(200_000), map), Verdict::Trial);
+    assert_eq!(ledger.snapshot(at(200_000), usize::MAX).len(), MAX_REQUESTS);
+    assert_eq!(ledger.decide(at(200_000), map), Decision::Trial);
 }
 
-/// Guards against an entry that joins or restarts knowing nothing of what the others hold back.
+/// Guards against an entry that joins or restarts not knowing the suspects of the others.
 #[test]
-fn an_entry_that_joins_knows_what_matters() {
-    let (mut ledger, map) = ended(3);
+fn joining_entry_learns_suspects() {
+    let (mut ledger, map) = crashed(3);
     for nth in 0..2_000_u64 {
-        let body = print("w", &nth.to_string());
-        ledger.note_end(at(3_000 + nth), at(3_000 + nth), body, incarnation(nth % 50), LASTED);
+        let body = fingerprint("w", &nth.to_string());
+        ledger.record_crash(
+            at(3_000 + nth),
+            at(3_000 + nth),
+            body,
+            incarnation(nth % 50),
+            RUN_TIME,
+        );
     }
     let mut joined = Ledger::default();
-    joined.hear(at(10), ledger.all(at(9_000), 1_000));
-    assert_eq!(joined.ends(map), SUSPECT);
-    assert_ne!(joined.verdict(at(10), map), Verdict::Clear);
+    joined.apply(at(10), ledger.snapshot(at(9_000), 1_000));
+    assert_eq!(joined.crashes(map), SUSPECT_CRASHES);
+    assert_ne!(joined.decide(at(10), map), Decision::Allow);
 }
 
-/// Guards against the restart of a target under its name being taken for the target that ended.
+/// Guards against a restarted target being taken for the one of the same name that crashed.
 #[test]
-fn a_restart_is_another_target() {
-    let target = poisoned::target("t-1", Some(1_000));
-    let again = poisoned::target("t-1", Some(2_000));
+fn restarted_target_is_a_new_incarnation() {
+    let target = simulation::target("t-1", Some(1_000));
+    let again = simulation::target("t-1", Some(2_000));
     assert_ne!(Incarnation::of(&target), Incarnation::of(&again));
     assert_eq!(Incarnation::of(&target), Incarnation::of(&target.clone()));
 }
