--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -132,7 +132,7 @@
             usage: Usage::default(),
             all: Curve::default(),
             fresh: Curve::default(),
-            detector: Detector::open(),
+            detector: Detector::new(),
             retries,
             weighed: Time::ZERO,
             held: 0.0,
@@ -227,7 +227,7 @@
                 running.first = Some(now);
                 running.judged = (produced, now);
                 slot.begun(running.ask.prompt.get());
-                self.detector.answered(now, &slot.name);
+                self.detector.record_answer(now, &slot.name);
             }
             Some(_) => {
                 slot.pace.sample(now, gap, slot.room.all_streams(), self.settings.between);
@@ -289,7 +289,7 @@
                 if is_lookup(&running.ask) {
                     let sample = Sample::Latency(now.since(running.sent));
                     self.detector.record(now, &slot.name, sample);
-                    self.detector.answered(now, &slot.name);
+                    self.detector.record_answer(now, &slot.name);
                 }
             }
             Outcome::Failed => {
@@ -350,12 +350,12 @@
 
     /// Takes in how a request of another entry ended at a target.
     pub fn hear(&mut self, now: Time, target: &id::Target, from: Observer, outcome: Ending) {
-        self.detector.hear(now, target, from, outcome);
+        self.detector.apply(now, target, from, outcome);
     }
 
     /// How requests ended at targets, as far as other entries should hear of it.
     pub fn take_endings(&mut self) -> Vec<(id::Target, Ending)> {
-        self.detector.take_news()
+        self.detector.take_updates()
     }
 
     /// Why a target gets no new work now; `None` where it does.
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,20 +1,20 @@
-//! Ejection of slow and failing targets.
+//! Outlier ejection: takes slow and failing targets out of use.
 //!
-//! **Load pattern.** One engine of many becomes several times slower than its peers (a throttled
-//! accelerator, a noisy neighbour) or fails every request at once, and its load report does not
-//! say so: a target that fails fast even looks idle.
+//! One engine of many may become several times slower than its peers (a throttled accelerator, a
+//! noisy neighbour) or fail every request at once, without its load report showing it. Requests
+//! sent to a slow one wait several times as long. One that fails at once looks idle and attracts
+//! ever more requests, because it is always the least loaded.
 //!
-//! **Without it.** Each request sent there waits several times as long, and a target that fails
-//! at once attracts ever more requests because it is always the least loaded.
+//! A target counts as slow at [`SLOW_FACTOR`] times the median of its peers, twice the spread of
+//! healthy engines with different batches, and is ejected once that has lasted for [`GRACE`]: a
+//! single long prompt slows an engine for about a second. At most [`MAX_EJECTED_SHARE`] of the
+//! targets are ejected at once, since the others must be able to carry the load. Once more than
+//! [`PANIC_SHARE`] look bad, the cause lies elsewhere (a link, a bad configuration), and ejection
+//! is ignored because it would pile the load on the few targets left.
 //!
-//! **Figures.** A target is slow at [`SLOW`] times the median of its peers, twice the spread of
-//! healthy engines with different batches. It must stay so for [`GRACE`], since a long prompt
-//! alone slows an engine for about a second. At most [`CAP`] of the targets are out at once: the
-//! rest must be able to carry the load. When more than [`MOST`] look bad the fault lies elsewhere
-//! (a link, a bad text), and ejection would only pile the load on the few, so it is ignored. The
-//! first ejection lasts [`EJECTION`] and each that follows soon twice as long, up to
-//! [`LONGEST`]. A target that returns ramps up over [`RAMP`] so that its cold cache is not
-//! flooded. `docs/DECISIONS.md`, section "Slow targets", has the runs.
+//! The first ejection lasts [`BASE_EJECTION`], each further one soon after it twice as long, up to
+//! [`MAX_EJECTION`]. A target that returns ramps up over [`RAMP`] so that its cold cache is not
+//! overloaded.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,46 +25,46 @@
 use crate::time::Time;
 use crate::witness::{Observer, Outcome, Witnesses};
 
-/// How many times the median of its peers a slow target's latency is.
-pub const SLOW: f64 = 3.0;
-/// How long a target must look slow before it is ejected.
+/// A target is slow if its latency is this many times the median of its peers.
+pub const SLOW_FACTOR: f64 = 3.0;
+/// How long a target must be slow before it is ejected.
 pub const GRACE: Duration = Duration::from_secs(1);
-/// The largest share of targets that may be out at once; one of two or more always may.
-pub const CAP: f64 = 0.34;
-/// Above this share of bad targets, ejection is ignored.
-pub const MOST: f64 = 0.5;
-/// Failures in a row that eject a target without grace.
-pub const FAILURES: u32 = 3;
-/// How long the first ejection lasts.
-pub const EJECTION: Duration = Duration::from_secs(10);
-/// How long an ejection lasts at most.
-pub const LONGEST: Duration = Duration::from_secs(80);
+/// Maximum share of targets that are ejected at once; one of two or more always may be.
+pub const MAX_EJECTED_SHARE: f64 = 0.34;
+/// Ejection is ignored while more than this share of targets look bad.
+pub const PANIC_SHARE: f64 = 0.5;
+/// Number of consecutive failures after which a target is ejected without grace.
+pub const CONSECUTIVE_FAILURES: u32 = 3;
+/// Length of the first ejection.
+pub const BASE_EJECTION: Duration = Duration::from_secs(10);
+/// Maximum length of an ejection.
+pub const MAX_EJECTION: Duration = Duration::from_secs(80);
 /// How long a target that returns takes to reach its full weight.
 pub const RAMP: Duration = Duration::from_secs(10);
-/// The weight at which a target returns: at 0.1 a target that is still slow drew enough to raise
-/// the 99th percentile of `slow-target` by 32 in 100 on one seed of seven, at 0.05 by 21 at most.
+/// Weight at which a target returns. If it is still slow, it raises the 99th percentile of latency
+/// by up to 32 % at a weight of 0.1 and by up to 21 % at 0.05.
 pub const RETURN_WEIGHT: f64 = 0.05;
 
-/// Samples before a target is judged; fewer are mostly noise, more are more slow answers.
-const SAMPLES: u32 = 4;
-/// Samples that suffice for one that has just returned, so that it is sent little while slow.
-const PROBE_SAMPLES: u32 = 1;
-/// The part of each new sample in the moving average: about the last ten count.
+/// Samples needed before a target is judged: fewer are mostly noise, more mean more slow answers.
+const MIN_SAMPLES: u32 = 4;
+/// The same for a target that has been ejected before, so that it is sent little while it is slow.
+const MIN_SAMPLES_RETURNED: u32 = 1;
+/// Weight of a new sample in the moving average, in which about the last ten samples count.
 const SMOOTHING: f64 = 0.2;
-/// After this long without ejection a target's record is clean again.
-const FORGIVEN: Duration = Duration::from_secs(300);
+/// After this time without ejection the next one is as short as the first.
+const BACKOFF_RESET: Duration = Duration::from_secs(300);
 
 /// One observation of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sample {
-    /// It answered; time to the first token, between tokens, or to a plain response. One detector
-    /// takes only one of these kinds.
+    /// It answered. The time to the first token, between tokens, or to a plain response; one
+    /// detector takes only one of these kinds.
     Latency(Duration),
     /// It failed or could not be reached.
     Failed,
 }
 
-/// Why a target was ejected, for operators.
+/// Why a target was ejected, as shown to operators.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Cause {
     /// It answers far more slowly than its peers.
@@ -75,38 +75,40 @@
     Failing,
 }
 
-/// A target that is out.
+/// The ejection of one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ejection {
-    /// Why.
+    /// Why it was ejected.
     pub cause: Cause,
-    /// When it is tried again.
+    /// When it is used again.
     pub until: Time,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Track {
+struct State {
     witnesses: Witnesses,
+    /// Moving average in seconds.
     latency: f64,
     samples: u32,
+    /// Consecutive failures.
     failures: u32,
     slow_since: Option<Time>,
-    out_until: Option<Time>,
+    ejected_until: Option<Time>,
     cause: Option<Cause>,
     ejections: u32,
 }
 
-impl Track {
+impl State {
     fn is_failing(&self, now: Time) -> bool {
-        self.failures >= FAILURES || self.witnesses.condemn(now)
+        self.failures >= CONSECUTIVE_FAILURES || self.witnesses.condemn(now)
     }
 
-    fn is_out(&self, now: Time) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+    fn is_ejected(&self, now: Time) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    fn known(&self) -> bool {
-        let needed = if self.ejections > 0 { PROBE_SAMPLES } else { SAMPLES };
+    fn has_enough_samples(&self) -> bool {
+        let needed = if self.ejections > 0 { MIN_SAMPLES_RETURNED } else { MIN_SAMPLES };
         self.samples >= needed
     }
 
@@ -124,15 +126,15 @@
     }
 
     fn eject(&mut self, now: Time, cause: Cause) {
-        let last_end = self.out_until.unwrap_or(Time::ZERO);
-        if now.since(last_end) > FORGIVEN {
+        let last_end = self.ejected_until.unwrap_or(Time::ZERO);
+        if now.since(last_end) > BACKOFF_RESET {
             self.ejections = 0;
         }
-        let span = EJECTION * 2u32.saturating_pow(self.ejections.min(8));
+        let span = BASE_EJECTION * 2u32.saturating_pow(self.ejections.min(8));
         let ejections = self.ejections + 1;
-        // What was measured before says nothing of the target that returns.
+        // Samples from before the ejection say nothing about the target once it returns.
         *self = Self {
-            out_until: Some(now + span.min(LONGEST)),
+            ejected_until: Some(now + span.min(MAX_EJECTION)),
             cause: Some(cause),
             ejections,
             ..Self::default()
@@ -140,7 +142,7 @@
     }
 
     fn weight(&self, now: Time) -> f64 {
-        let Some(until) = self.out_until else { return 1.0 };
+        let Some(until) = self.ejected_until else { return 1.0 };
         if now < until {
             return 0.0;
         }
@@ -149,151 +151,152 @@
     }
 }
 
-/// Watches the targets of one service.
+/// Detects and ejects outliers among the targets of one service.
 ///
-/// Recording one sample costs a scan of the targets, and weights move slowly, so a gate samples
-/// once for each attempt and reads [`Detector::weight`] a few times a second, not once for each
-/// placement.
+/// Recording a sample scans all targets, and weights change slowly. So a gate records once for each
+/// attempt and reads [`Detector::weight`] a few times a second rather than for each placement.
 #[derive(Debug, Default)]
 pub struct Detector {
-    tracks: HashMap<id::Target, Track>,
-    /// Outcomes that other entries should hear of.
-    news: Vec<(id::Target, Outcome)>,
+    targets: HashMap<id::Target, State>,
+    /// Outcomes that are still to be sent to other entries.
+    updates: Vec<(id::Target, Outcome)>,
 }
 
 impl Detector {
-    /// Opens a detector that knows no target.
-    pub fn open() -> Self {
+    /// Creates a detector without targets.
+    pub fn new() -> Self {
         Self::default()
     }
 
-    /// Keeps these targets and forgets all others.
+    /// Sets the targets, keeping the state of those that were set before.
     pub fn set_targets<'a>(&mut self, targets: impl IntoIterator<Item = &'a id::Target>) {
         let mut kept = HashMap::new();
         for target in targets {
-            kept.insert(target.clone(), self.tracks.remove(target).unwrap_or_default());
+            kept.insert(target.clone(), self.targets.remove(target).unwrap_or_default());
         }
-        self.tracks = kept;
+        self.targets = kept;
     }
 
-    /// Takes in one sample and ejects the target if it is due; a target not set is ignored.
+    /// Records a sample and ejects the target if that is due; ignores targets that are not set.
     pub fn record(&mut self, now: Time, target: &id::Target, sample: Sample) {
-        let Some(track) = self.tracks.get_mut(target) else { return };
-        if track.is_out(now) {
-            // Sent before the ejection: it must not count against the target that returns.
+        let Some(state) = self.targets.get_mut(target) else { return };
+        if state.is_ejected(now) {
+            // The request was sent before the ejection and must not count once the target returns.
             return;
         }
-        track.record(sample);
-        if sample == Sample::Failed && track.witnesses.see(now, Outcome::Failed) {
-            self.news.push((target.clone(), Outcome::Failed));
+        state.record(sample);
+        if sample == Sample::Failed && state.witnesses.see(now, Outcome::Failed) {
+            self.updates.push((target.clone(), Outcome::Failed));
         }
-        self.judge(now, target);
+        self.evaluate(now, target);
     }
 
-    /// Notes that a target has begun to answer a request.
-    pub fn answered(&mut self, now: Time, target: &id::Target) {
-        let Some(track) = self.tracks.get_mut(target) else { return };
-        if track.witnesses.see(now, Outcome::Answered) {
-            self.news.push((target.clone(), Outcome::Answered));
+    /// Records that a target has begun to answer a request.
+    pub fn record_answer(&mut self, now: Time, target: &id::Target) {
+        let Some(state) = self.targets.get_mut(target) else { return };
+        if state.witnesses.see(now, Outcome::Answered) {
+            self.updates.push((target.clone(), Outcome::Answered));
         }
     }
 
-    /// Takes in how a request of another entry ended at a target.
-    pub fn hear(&mut self, now: Time, target: &id::Target, observer: Observer, outcome: Outcome) {
-        let Some(track) = self.tracks.get_mut(target) else { return };
-        if track.is_out(now) {
+    /// Applies the outcome that another entry observed for a request at a target.
+    pub fn apply(&mut self, now: Time, target: &id::Target, observer: Observer, outcome: Outcome) {
+        let Some(state) = self.targets.get_mut(target) else { return };
+        if state.is_ejected(now) {
             return;
         }
-        track.witnesses.hear(now, observer, outcome);
-        self.judge(now, target);
+        state.witnesses.hear(now, observer, outcome);
+        self.evaluate(now, target);
     }
 
-    /// Ejects targets that are due by what was seen before; called a few times a second.
+    /// Ejects targets that have become due by earlier observations; called a few times a second.
     pub fn poll(&mut self, now: Time) {
-        let known = |track: &Track| !track.witnesses.is_empty() && !track.is_out(now);
-        let known = self.tracks.iter().filter(|(_, track)| known(track));
-        let targets: Vec<id::Target> = known.map(|(target, _)| target.clone()).collect();
-        targets.iter().for_each(|target| self.judge(now, target));
+        let observed = |state: &State| !state.witnesses.is_empty() && !state.is_ejected(now);
+        let observed = self.targets.iter().filter(|(_, state)| observed(state));
+        let targets: Vec<id::Target> = observed.map(|(target, _)| target.clone()).collect();
+        targets.iter().for_each(|target| self.evaluate(now, target));
     }
 
-    /// What other entries should hear of, since this was last asked.
-    pub fn take_news(&mut self) -> Vec<(id::Target, Outcome)> {
-        std::mem::take(&mut self.news)
+    /// Takes the outcomes recorded since the last call that are to be sent to other entries.
+    pub fn take_updates(&mut self) -> Vec<(id::Target, Outcome)> {
+        std::mem::take(&mut self.updates)
     }
 
-    /// Ejects a target if it is due.
-    fn judge(&mut self, now: Time, target: &id::Target) {
-        let Some(track) = self.tracks.get(target).cloned() else { return };
-        let slow = self.is_slow(target, &track);
-        let slow_since = slow.then(|| track.slow_since.unwrap_or(now));
-        // One that returned and is slow again has had its grace; more would only be sent to wait.
-        let grace = if track.ejections > 0 { Duration::ZERO } else { GRACE };
+    /// Ejects a target if that is due.
+    fn evaluate(&mut self, now: Time, target: &id::Target) {
+        let Some(state) = self.targets.get(target).cloned() else { return };
+        let slow = self.is_slow(target, &state);
+        let slow_since = slow.then(|| state.slow_since.unwrap_or(now));
+        // A target that was ejected before gets no grace, in which more requests would be delayed.
+        let grace = if state.ejections > 0 { Duration::ZERO } else { GRACE };
         let due = slow_since.is_some_and(|since| now.since(since) >= grace);
-        let failing = track.is_failing(now);
+        let failing = state.is_failing(now);
         let eject = (due || failing) && self.may_eject(now);
-        let Some(track) = self.tracks.get_mut(target) else { return };
-        track.slow_since = slow_since;
+        let Some(state) = self.targets.get_mut(target) else { return };
+        state.slow_since = slow_since;
         if eject {
             let cause = if failing { Cause::Failing } else { Cause::Slow };
-            track.eject(now, cause);
+            state.eject(now, cause);
         }
     }
 
-    /// How far a target is to be used now, from 0 (ejected) to 1.
+    /// Returns the weight of a target, from 0 (ejected) to 1.
     pub fn weight(&self, now: Time, target: &id::Target) -> f64 {
         if self.most_look_bad(now) {
             return 1.0;
         }
-        self.tracks.get(target).map_or(1.0, |track| track.weight(now))
+        self.targets.get(target).map_or(1.0, |state| state.weight(now))
     }
 
-    /// The weights of all targets, in no order; one scan instead of one for each target.
+    /// Returns the weights of all targets in no particular order, in one scan instead of one for
+    /// each target.
     pub fn weights(&self, now: Time) -> impl Iterator<Item = (&id::Target, f64)> {
         let ignored = self.most_look_bad(now);
-        let weight = move |track: &Track| if ignored { 1.0 } else { track.weight(now) };
-        self.tracks.iter().map(move |(target, track)| (target, weight(track)))
+        let weight = move |state: &State| if ignored { 1.0 } else { state.weight(now) };
+        self.targets.iter().map(move |(target, state)| (target, weight(state)))
     }
 
-    /// Why a target gets no new work now; `None` where it does.
+    /// Returns the ejection that is in force for a target; `None` if the target is in use.
     pub fn ejection(&self, now: Time, target: &id::Target) -> Option<Ejection> {
-        let track = self.tracks.get(target).filter(|track| track.is_out(now))?;
+        let state = self.targets.get(target).filter(|state| state.is_ejected(now))?;
         if self.most_look_bad(now) {
             return None;
         }
-        Some(Ejection { cause: track.cause?, until: track.out_until? })
+        Some(Ejection { cause: state.cause?, until: state.ejected_until? })
     }
 
-    /// How many targets are out now.
+    /// Returns the number of ejected targets.
     pub fn ejected(&self, now: Time) -> usize {
-        self.tracks.values().filter(|track| track.is_out(now)).count()
+        self.targets.values().filter(|state| state.is_ejected(now)).count()
     }
 
-    fn is_slow(&self, target: &id::Target, track: &Track) -> bool {
-        if !track.known() {
+    fn is_slow(&self, target: &id::Target, state: &State) -> bool {
+        if !state.has_enough_samples() {
             return false;
         }
-        let peers = self.tracks.iter().filter(|(name, peer)| *name != target && peer.known());
+        let peers =
+            self.targets.iter().filter(|(name, peer)| *name != target && peer.has_enough_samples());
         let mut latencies: Vec<f64> = peers.map(|(_, peer)| peer.latency).collect();
         if latencies.is_empty() {
             return false;
         }
         let middle = latencies.len() / 2;
         let (_, median, _) = latencies.select_nth_unstable_by(middle, f64::total_cmp);
-        track.latency > SLOW * *median
+        state.latency > SLOW_FACTOR * *median
     }
 
     fn may_eject(&self, now: Time) -> bool {
-        let count = self.tracks.len();
-        let cap = ((count as f64 * CAP) as usize).max(1);
-        count > 1 && self.ejected(now) < cap && !self.most_look_bad(now)
+        let count = self.targets.len();
+        let max = ((count as f64 * MAX_EJECTED_SHARE) as usize).max(1);
+        count > 1 && self.ejected(now) < max && !self.most_look_bad(now)
     }
 
-    /// Whether so many targets look bad that the fault must lie elsewhere.
+    /// Whether so many targets look bad that the cause must lie elsewhere.
     fn most_look_bad(&self, now: Time) -> bool {
-        let bad = |track: &&Track| {
-            track.is_out(now) || track.is_failing(now) || track.slow_since.is_some()
+        let bad = |state: &&State| {
+            state.is_ejected(now) || state.is_failing(now) || state.slow_since.is_some()
         };
-        let bad = self.tracks.values().filter(bad).count();
-        bad as f64 > MOST * self.tracks.len() as f64
+        let bad = self.targets.values().filter(bad).count();
+        bad as f64 > PANIC_SHARE * self.targets.len() as f64
     }
 }
--- a/crates/policy/tests/witness.rs
+++ b/crates/policy/tests/witness.rs
@@ -53,7 +53,7 @@
     fn open(targets: usize) -> Self {
         let names: Vec<Target> = (0..targets).map(target).collect();
         let open = |_| {
-            let mut detector = Detector::open();
+            let mut detector = Detector::new();
             detector.set_targets(&names);
             detector
         };
@@ -69,10 +69,10 @@
     fn share(&mut self) {
         self.detectors.iter_mut().for_each(|detector| detector.poll(at(self.now)));
         for teller in 0..ENTRIES {
-            for (target, outcome) in self.detectors[teller].take_news() {
+            for (target, outcome) in self.detectors[teller].take_updates() {
                 for (nth, detector) in self.detectors.iter_mut().enumerate() {
                     if nth != teller {
-                        detector.hear(at(self.now), &target, observer(teller), outcome);
+                        detector.apply(at(self.now), &target, observer(teller), outcome);
                     }
                 }
             }
@@ -101,7 +101,7 @@
             let sample = if fails { Sample::Failed } else { ANSWERED };
             self.detectors[entry].record(now, &target(chosen), sample);
             if !fails {
-                self.detectors[entry].answered(now, &target(chosen));
+                self.detectors[entry].record_answer(now, &target(chosen));
             }
             // What runs there goes on, whatever becomes of new requests.
             self.detectors[entry].record(now, &target(chosen), ANSWERED);
@@ -165,28 +165,28 @@
 /// could say that it answers them.
 #[test]
 fn others_have_time_to_say_that_it_answers() {
-    let mut detector = Detector::open();
+    let mut detector = Detector::new();
     detector.set_targets(&[target(0), target(1), target(2), target(3)]);
     let now = at(WINDOW);
-    detector.hear(now, &target(0), observer(1), Outcome::Failed);
-    detector.hear(now + HEARD / 2, &target(0), observer(2), Outcome::Failed);
+    detector.apply(now, &target(0), observer(1), Outcome::Failed);
+    detector.apply(now + HEARD / 2, &target(0), observer(2), Outcome::Failed);
     assert_eq!(detector.weight(now + HEARD / 2, &target(0)), 1.0);
-    detector.hear(now + HEARD, &target(0), observer(4), Outcome::Answered);
-    detector.hear(now + HEARD * 2, &target(0), observer(3), Outcome::Failed);
+    detector.apply(now + HEARD, &target(0), observer(4), Outcome::Answered);
+    detector.apply(now + HEARD * 2, &target(0), observer(3), Outcome::Failed);
     assert_eq!(detector.weight(now + HEARD * 2, &target(0)), 1.0);
-    detector.hear(now + HEARD * 4, &target(0), observer(1), Outcome::Failed);
+    detector.apply(now + HEARD * 4, &target(0), observer(1), Outcome::Failed);
     assert_eq!(detector.weight(now + HEARD * 4, &target(0)), 0.0);
 }
 
 /// Guards against failures of long ago that count with one of now.
 #[test]
 fn outcomes_are_forgotten() {
-    let mut detector = Detector::open();
+    let mut detector = Detector::new();
     detector.set_targets(&[target(0), target(1), target(2), target(3)]);
-    detector.hear(at(WINDOW), &target(0), observer(1), Outcome::Failed);
-    detector.hear(at(WINDOW * 3), &target(0), observer(2), Outcome::Failed);
+    detector.apply(at(WINDOW), &target(0), observer(1), Outcome::Failed);
+    detector.apply(at(WINDOW * 3), &target(0), observer(2), Outcome::Failed);
     assert_eq!(detector.weight(at(WINDOW * 3), &target(0)), 1.0);
-    detector.hear(at(WINDOW * 3) + HEARD / 2, &target(0), observer(3), Outcome::Failed);
+    detector.apply(at(WINDOW * 3) + HEARD / 2, &target(0), observer(3), Outcome::Failed);
     detector.poll(at(WINDOW * 5));
     assert_eq!(detector.weight(at(WINDOW * 5), &target(0)), 1.0);
 }
