--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -17,11 +17,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use fireflyhoist_policy::backoff::{self, Role};
 use fireflyhoist_policy::bootstrap::Peers;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::Change;
 use fireflyhoist_policy::newcomer::Order;
-use fireflyhoist_policy::outage::{self, Part};
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::presence::{Presence, Teller, Told, Update};
 use fireflyhoist_policy::rendezvous;
@@ -194,15 +194,15 @@
     }
 
     /// Its part in hearing from a registry that doesn't answer.
-    pub(crate) fn part(&self) -> Part {
+    pub(crate) fn part(&self) -> Role {
         if self.is_standby() {
-            return Part::Standby;
+            return Role::Standby;
         }
         if self.is_alone() && self.process.is_idle() {
-            return Part::Following;
+            return Role::Secondary;
         }
-        let leading = self.ranked_actives("registry", outage::LEADING);
-        if leading.contains(&self.own.host) { Part::Leading } else { Part::Following }
+        let leading = self.ranked_actives("registry", backoff::PRIMARIES);
+        if leading.contains(&self.own.host) { Role::Primary } else { Role::Secondary }
     }
 
     /// The first few actives by rank for a key, among those that this entry has links to.
--- a/crates/gateway/src/version/follow.rs
+++ b/crates/gateway/src/version/follow.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use derive_more::{Display, Error};
+use fireflyhoist_policy::backoff;
 use fireflyhoist_policy::bootstrap::{Bootstrap, Peers};
 use fireflyhoist_policy::cordon;
 use fireflyhoist_policy::lease::Change;
-use fireflyhoist_policy::outage;
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::time::Time;
 use ntex::http::{HeaderMap, Method, StatusCode};
@@ -192,7 +192,7 @@
             if self.is_told() || !self.is_known() {
                 untold = None;
             } else {
-                let patience = || now + outage::patience(self.fleet.part(), rand::random());
+                let patience = || now + backoff::initial_delay(self.fleet.part(), rand::random());
                 if now >= *untold.get_or_insert_with(patience) {
                     return;
                 }
@@ -346,7 +346,7 @@
         if self.what == What::Targets {
             self.process.set_watching(false);
         }
-        sleep(outage::pause(self.fleet.part(), self.failures, rand::random())).await;
+        sleep(backoff::delay(self.fleet.part(), self.failures, rand::random())).await;
     }
 
     fn take_list(&self, at: Position, items: Vec<Result<Item, DecodeError>>) {
--- a/crates/policy/src/bootstrap.rs
+++ b/crates/policy/src/bootstrap.rs
@@ -59,7 +59,7 @@
     /// For any other entry, with a number drawn evenly from 0 to 1.
     pub fn member(now: Time, draw: f64) -> Self {
         let waits = Waits {
-            linked: suppress::wait(WINDOW, draw),
+            linked: suppress::delay(WINDOW, draw),
             alone: ALONE + ALONE_SPREAD.mul_f64(draw),
         };
         Self { began: now, waits: Some(waits) }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,6 +5,7 @@
 //! keeps that true; see `docs/DESIGN.md`, section "One daemon, one tool".
 
 pub mod ask;
+pub mod backoff;
 pub mod bootstrap;
 pub mod burn;
 pub mod cold;
@@ -29,7 +30,6 @@
 pub mod member;
 pub mod newcomer;
 pub mod order;
-pub mod outage;
 pub mod outlier;
 pub mod pace;
 pub mod placement;
