--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -99,7 +99,7 @@
     }
 
     /// Sets how many second attempts this entry may make.
-    pub fn set_retries(&self, terms: retry::Terms) {
+    pub fn set_retries(&self, terms: retry::Limits) {
         self.state.lock().gate.set_retries(terms);
     }
 
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -211,10 +211,10 @@
         }
     }
 
-    fn retries(&self) -> retry::Terms {
+    fn retries(&self) -> retry::Limits {
         let bounds = self.bounds();
         let earned = bounds.retry_ratio * RETRY_EARNED;
-        retry::Terms::part(earned, bounds.retry_burst, self.actives.load(Ordering::Acquire))
+        retry::Limits::share(earned, bounds.retry_burst, self.actives.load(Ordering::Acquire))
     }
 
     fn terms(&self) -> gate::Settings {
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -119,7 +119,7 @@
     /// Opens a gate that knows no target yet.
     pub fn open(settings: Settings) -> Self {
         let queue = Queue::open(settings.fair).with_spare_last(settings.late);
-        let retries = retry::Budget::of(settings.retries);
+        let retries = retry::Budget::with_limits(settings.retries);
         Self {
             settings,
             entries: (1, None),
@@ -151,8 +151,8 @@
     }
 
     /// Sets how many second attempts this entry may make.
-    pub fn set_retries(&mut self, terms: retry::Terms) {
-        self.retries.set_terms(terms);
+    pub fn set_retries(&mut self, terms: retry::Limits) {
+        self.retries.set_limits(terms);
     }
 
     /// Sets the time between tokens that live callers are promised.
@@ -284,7 +284,7 @@
         self.queue.charge(workspace, done - running.work);
         match outcome {
             Outcome::Whole => {
-                self.retries.earn();
+                self.retries.record_success();
                 self.book.end(workspace, running.mark, running.produced);
                 if is_lookup(&running.ask) {
                     let sample = Sample::Latency(now.since(running.sent));
--- a/crates/policy/src/gate/settings.rs
+++ b/crates/policy/src/gate/settings.rs
@@ -39,7 +39,7 @@
     /// Charge second attempts of overnight answers as well, where operators bound them all.
     pub charge_all: bool,
     /// How many second attempts this entry may make.
-    pub retries: retry::Terms,
+    pub retries: retry::Limits,
 }
 
 impl Default for Settings {
@@ -60,7 +60,7 @@
             late: false,
             outlier: true,
             charge_all: false,
-            retries: retry::Terms::default(),
+            retries: retry::Limits::default(),
         }
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,81 +1,81 @@
-//! The retry budget: how many second attempts one entry may make for a service.
+//! The retry budget: how many retries one entry may make for a service.
 //!
-//! **Load pattern.** A service fails for a while (engines reclaimed, a link cut) or is
-//! overloaded, and every attempt that fails asks for another.
+//! While a service fails (engines reclaimed, a link cut) or is overloaded, every failed attempt
+//! asks for a retry. Unbounded retries multiply the load exactly when there is the least headroom,
+//! and keep the service down after the cause is gone.
 //!
-//! **Without it.** Retries multiply the load at the very moment when there is least room, and the
-//! service stays down after the cause is gone.
-//!
-//! **Figures.** Each success earns [`EARNED`] of a retry, so that retries stay under a tenth of
-//! what is sent, the bound that the users' overload run sets. [`BURST`] retries may be saved up: an
-//! engine that dies cuts about that many streams of one entry at once, and each may try elsewhere.
+//! Each success adds [`PER_SUCCESS`] of a retry, which keeps retries below a tenth of all attempts.
+//! The budget holds at most [`BURST`] retries: an engine that dies cuts about that many streams of
+//! one entry at once, and each of them may be retried elsewhere.
 
-/// What one success earns, in retries.
-pub const EARNED: f64 = 0.1;
+/// Retries that one success adds to the budget.
+pub const PER_SUCCESS: f64 = 0.1;
 
-/// The most retries that may be saved up.
+/// Maximum number of retries in the budget.
 pub const BURST: f64 = 10.0;
 
-/// Entries among which a deployment's bound on retries is divided at least. No list of entries is
-/// published, and dividing by those that seem alive would let both sides of a partition spend the whole.
-pub const PARTS: usize = 16;
+/// Least number of entries by which a bound on the retries of all entries is divided. No list of
+/// entries is published, and if the bound were divided by the number that seem alive, both sides of
+/// a partition could spend all of it.
+pub const MIN_ENTRIES: usize = 16;
 
 /// How a budget fills.
 ///
-/// Where operators bound the retries of all entries together, each entry takes its part of the
-/// burst, so that no window sums above the whole, whoever else is alive.
+/// If operators bound the retries of all entries together, each entry gets its share of the burst,
+/// so that the sum over any window stays within the bound, whichever entries are alive.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// What one success earns, in retries.
-    pub earned: f64,
-    /// The most retries that may be saved up.
+pub struct Limits {
+    /// Retries that one success adds to the budget.
+    pub per_success: f64,
+    /// Maximum number of retries in the budget.
     pub burst: f64,
 }
 
-impl Terms {
-    /// One entry's part of a bound on the retries of all, where at most `entries` have been seen to carry
-    /// the traffic.
-    pub fn part(earned: f64, burst: f64, entries: usize) -> Self {
-        Self { earned, burst: burst / entries.max(PARTS) as f64 }
+impl Limits {
+    /// Returns one entry's share of a bound on the retries of all entries, where at most `entries`
+    /// have been seen to carry traffic.
+    pub fn share(per_success: f64, burst: f64, entries: usize) -> Self {
+        Self { per_success, burst: burst / entries.max(MIN_ENTRIES) as f64 }
     }
 }
 
-impl Default for Terms {
+impl Default for Limits {
     fn default() -> Self {
-        Self { earned: EARNED, burst: BURST }
+        Self { per_success: PER_SUCCESS, burst: BURST }
     }
 }
 
-/// Retries left for one service at one entry.
+/// The retries left to one entry for one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     left: f64,
-    terms: Terms,
+    limits: Limits,
 }
 
 impl Budget {
-    /// Opens a full budget: a process that just started meets failures of others, too.
-    pub fn open() -> Self {
-        Self::of(Terms::default())
+    /// Creates a full budget with default limits. It is full because targets may also fail while
+    /// the process has just started.
+    pub fn new() -> Self {
+        Self::with_limits(Limits::default())
     }
 
-    /// Opens a full budget on other terms than the usual ones.
-    pub fn of(terms: Terms) -> Self {
-        Self { left: terms.burst, terms }
+    /// Creates a full budget with these limits.
+    pub fn with_limits(limits: Limits) -> Self {
+        Self { left: limits.burst, limits }
     }
 
-    /// Goes on with other terms; what was saved up beyond them is lost.
-    pub fn set_terms(&mut self, terms: Terms) {
-        self.terms = terms;
-        self.left = self.left.min(terms.burst);
+    /// Changes the limits and drops retries beyond the new burst.
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.limits = limits;
+        self.left = self.left.min(limits.burst);
     }
 
-    /// Notes that an attempt succeeded.
-    pub fn earn(&mut self) {
-        self.left = (self.left + self.terms.earned).min(self.terms.burst);
+    /// Records that an attempt succeeded.
+    pub fn record_success(&mut self) {
+        self.left = (self.left + self.limits.per_success).min(self.limits.burst);
     }
 
-    /// Takes one retry, or says that none is left.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn try_take(&mut self) -> bool {
         let granted = self.left >= 1.0;
         if granted {
@@ -87,6 +87,6 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self::open()
+        Self::new()
     }
 }
