--- a/crates/daemon/src/process/burn.rs
+++ b/crates/daemon/src/process/burn.rs
@@ -33,7 +33,7 @@
 
     /// Begins the watch of a request that just arrived.
     pub(crate) fn watch(self: &Arc<Self>, service: &Service) -> Watch {
-        let progress = Progress::open(service.objective.burn(), self.clock.now());
+        let progress = Progress::new(service.objective.burn(), self.clock.now());
         Watch {
             recorder: Arc::clone(self),
             service: service.name.clone(),
@@ -84,11 +84,11 @@
     pub(crate) fn token(&mut self, offset: u64) {
         let now = self.recorder.clock.now();
         let Some(progress) = &mut self.progress else { return };
-        if let Some(elapsed) = progress.token(now) {
+        if let Some(elapsed) = progress.record_token(now) {
             self.recorder.metrics.first_token(&self.service, elapsed);
         }
         if offset.is_multiple_of(TOKENS_A_RECORD) {
-            let tally = progress.take();
+            let tally = progress.take_tally();
             self.recorder.record(&self.service, tally);
         }
     }
@@ -103,14 +103,14 @@
     pub(crate) fn answered(mut self) {
         if let Some(progress) = self.progress.take() {
             let now = self.recorder.clock.now();
-            self.recorder.record(&self.service, progress.answered(now));
+            self.recorder.record(&self.service, progress.finish_plain(now));
         }
     }
 
     /// Notes that the engine preempted the generation.
     pub(crate) fn preempted(&mut self) {
         if let Some(progress) = &mut self.progress {
-            progress.preempted();
+            progress.record_preemption();
         }
     }
 }
--- a/crates/policy/src/burn.rs
+++ b/crates/policy/src/burn.rs
@@ -1,15 +1,13 @@
-//! Service-level burn: how fast each service spends what its objective lets go wrong.
+//! Service-level burn rates: how fast each service spends the error budget of its objective.
 //!
-//! The load pattern is an ordinary day with a bad quarter of an hour in it. A plain error rate over
-//! the day hides it, and one over a minute cries at each late token. So each measure is held
-//! against its budget over a short and a long window at once, as in the multi-window,
-//! multi-burn-rate alerts of the Site Reliability Workbook (chapter 5): the long window says that
-//! it matters, the short one that it still goes on. Without the pair, an alert rings for hours
-//! after the cause is gone.
+//! An error rate over a day hides a bad quarter of an hour, and one over a minute alerts on every
+//! late token. So each measure is compared with its budget over a long and a short window at once,
+//! as in the multi-window, multi-burn-rate alerts of the Site Reliability Workbook (chapter 5): the
+//! long window shows that the problem matters, the short one that it still lasts. With a long
+//! window alone, an alert stays active for hours after the cause is gone.
 //!
-//! Burn 1 spends the budget exactly. The thresholds are that chapter's: 14.4 over an hour spends
-//! two percent of a month's budget, 6 over six hours five percent. `docs/OPERATIONS.md` says what
-//! to do at each level.
+//! A burn rate of 1 spends the budget exactly. The thresholds are those of that chapter: 14.4 over
+//! an hour spends 2 % of a month's budget, 6 over six hours spends 5 %.
 
 use std::fmt;
 use std::ops::AddAssign;
@@ -20,7 +18,7 @@
 
 use crate::time::Time;
 
-/// The windows of a report, shortest first.
+/// Windows of a report, shortest first.
 pub const WINDOWS: [Duration; 4] = [
     Duration::from_secs(300),
     Duration::from_secs(1_800),
@@ -28,35 +26,35 @@
     Duration::from_secs(21_600),
 ];
 
-/// Burn over five minutes and an hour at which somebody should look at once.
-pub const FAST: f64 = 14.4;
+/// Burn rate over five minutes and over an hour that needs attention at once.
+pub const FAST_BURN: f64 = 14.4;
 
-/// Burn over half an hour and six hours at which somebody should look today.
-pub const SLOW: f64 = 6.0;
+/// Burn rate over half an hour and over six hours that needs attention within a day.
+pub const SLOW_BURN: f64 = 6.0;
 
-/// A gap this many times the objective is a stall: at 57 ms more than half a second, which a reader
-/// sees as a halt rather than as slowness.
+/// A gap between tokens longer than this many times the objective is a stall. With an objective of
+/// 57 ms that is more than half a second, which a reader notices as a halt rather than as slowness.
 const STALL_FACTOR: u32 = 10;
 
-/// What is measured, the users' three measures first.
+/// What is measured. The three measures that matter most to users come first.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
-    /// Microseconds of generation time that were stalled.
+    /// Stalled generation time, in microseconds.
     #[display("stall time")]
     Stall,
-    /// Answers that an engine preempted.
+    /// Answers that were preempted by their engine.
     #[display("preemptions")]
     Preemption,
-    /// Gaps between tokens over the objective.
+    /// Gaps between tokens that exceed the objective.
     #[display("between tokens")]
     BetweenTokens,
-    /// First tokens over the objective.
+    /// First tokens that arrive later than the objective.
     #[display("first token")]
     FirstToken,
-    /// Requests refused.
+    /// Requests that were refused.
     #[display("refusals")]
     Refusal,
 }
@@ -66,9 +64,9 @@
     pub const ALL: [Self; 5] =
         [Self::Stall, Self::Preemption, Self::BetweenTokens, Self::FirstToken, Self::Refusal];
 
-    /// The least that a long window must hold before a level is raised: one refusal among three
-    /// requests at night is no incident. A minute of generation, or fifty events.
-    fn least(self) -> u64 {
+    /// Returns the total that a long window must hold before a level is raised: a minute of
+    /// generation or fifty events. One refusal among three requests at night is no incident.
+    fn min_total(self) -> u64 {
         match self {
             Self::Stall => 60_000_000,
             _ => 50,
@@ -76,25 +74,25 @@
     }
 }
 
-/// What a service promises.
+/// The service-level objective of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Objective {
-    /// Time to the first token.
+    /// Longest time to the first token that is on time.
     pub first_token: Duration,
-    /// Time between tokens.
+    /// Longest time between tokens that is on time.
     pub between_tokens: Duration,
-    /// The share of first tokens and gaps that may be later, above 0.
+    /// Share of first tokens and of gaps that may be late, above 0.
     pub late_share: f64,
-    /// The share of generation time that may be stalled, above 0.
+    /// Share of generation time that may be stalled, above 0.
     pub stalled_share: f64,
-    /// The share of answers that may be preempted, above 0.
+    /// Share of answers that may be preempted, above 0.
     pub preempted_share: f64,
-    /// The share of requests that may be refused, above 0.
+    /// Share of requests that may be refused, above 0.
     pub refused_share: f64,
 }
 
 impl Objective {
-    /// The share of a measure's total that may be bad.
+    /// Returns the error budget of a measure: the share of its total that may be bad.
     pub fn budget(&self, measure: Measure) -> f64 {
         match measure {
             Measure::Stall => self.stalled_share,
@@ -105,10 +103,10 @@
     }
 }
 
-/// How much there was of a measure and how much of it was bad.
+/// The total of a measure and its bad part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// All of it: microseconds for [`Measure::Stall`], events for the others.
+    /// Good and bad together: microseconds for [`Measure::Stall`], events for the others.
     pub total: u64,
     /// The bad part.
     pub bad: u64,
@@ -120,7 +118,7 @@
         self.bad += u64::from(bad);
     }
 
-    /// The bad share; zero where there was nothing.
+    /// Returns the bad share, or zero if the total is zero.
     pub fn share(self) -> f64 {
         if self.total == 0 { 0.0 } else { self.bad as f64 / self.total as f64 }
     }
@@ -133,7 +131,7 @@
     }
 }
 
-/// Counts of every measure.
+/// The counts of every measure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     stall: Count,
@@ -144,19 +142,19 @@
 }
 
 impl Tally {
-    /// One request that was refused.
+    /// Returns the counts of one refused request.
     pub fn refused() -> Self {
         Self { refusal: Count { total: 1, bad: 1 }, ..Self::default() }
     }
 
-    /// One plain call answered after `elapsed`.
+    /// Returns the counts of one plain call that was answered after `elapsed`.
     pub fn plain(objective: &Objective, elapsed: Duration) -> Self {
         let mut tally = Self { refusal: Count { total: 1, bad: 0 }, ..Self::default() };
         tally.first_token.add(elapsed > objective.first_token);
         tally
     }
 
-    /// The counts of one measure.
+    /// Returns the count of one measure.
     pub fn get(&self, measure: Measure) -> Count {
         match measure {
             Measure::Stall => self.stall,
@@ -178,62 +176,65 @@
     }
 }
 
-/// Watches one generation as its tokens arrive at the entry.
+/// Counts the tokens and gaps of one generation as its tokens arrive at the entry.
 #[derive(Clone, Debug)]
 pub struct Progress {
     objective: Objective,
-    since: Time,
-    begun: bool,
+    /// When the latest token arrived, or the request before the first one.
+    last_token: Time,
+    started: bool,
     preempted: bool,
     tally: Tally,
 }
 
 impl Progress {
-    /// Begins when a request arrives, so that its wait counts towards the first token.
-    pub fn open(objective: Objective, now: Time) -> Self {
+    /// Creates the progress of a request that arrives now, so that its wait in the queue counts
+    /// towards the first token.
+    pub fn new(objective: Objective, now: Time) -> Self {
         let tally = Tally { refusal: Count { total: 1, bad: 0 }, ..Tally::default() };
-        Self { objective, since: now, begun: false, preempted: false, tally }
+        Self { objective, last_token: now, started: false, preempted: false, tally }
     }
 
-    /// Notes that a token arrived and returns how long the first one took, if it is that.
-    pub fn token(&mut self, now: Time) -> Option<Duration> {
-        let gap = now.since(self.since);
-        self.since = now;
-        if !self.begun {
-            self.begun = true;
+    /// Records that a token arrived; returns the time to the first token if it is the first.
+    pub fn record_token(&mut self, now: Time) -> Option<Duration> {
+        let gap = now.since(self.last_token);
+        self.last_token = now;
+        if !self.started {
+            self.started = true;
             self.tally.first_token.add(gap > self.objective.first_token);
             return Some(gap);
         }
         self.tally.between_tokens.add(gap > self.objective.between_tokens);
-        self.span(gap);
+        self.record_gap(gap);
         None
     }
 
-    /// Notes that the engine preempted the generation.
-    pub fn preempted(&mut self) {
+    /// Records that the engine preempted the generation.
+    pub fn record_preemption(&mut self) {
         self.preempted = true;
     }
 
-    /// Hands over what was counted so far, so that an answer of an hour shows before its end.
-    pub fn take(&mut self) -> Tally {
+    /// Takes the counts so far, so that a long answer shows up in reports before it ends.
+    pub fn take_tally(&mut self) -> Tally {
         std::mem::take(&mut self.tally)
     }
 
-    /// Ends the watch of a plain call whose response begins now.
-    pub fn answered(self, now: Time) -> Tally {
-        Tally::plain(&self.objective, now.since(self.since))
+    /// Returns the counts of a plain call whose response begins now.
+    pub fn finish_plain(self, now: Time) -> Tally {
+        Tally::plain(&self.objective, now.since(self.last_token))
     }
 
-    /// Ends the watch, whole or not; a generation that hung until now was stalled until now.
+    /// Returns the counts of a generation that ends now, complete or not. The time since the last
+    /// token counts as a gap, so a generation that hung until now was stalled until now.
     pub fn finish(mut self, now: Time) -> Tally {
-        if self.begun {
-            self.span(now.since(self.since));
+        if self.started {
+            self.record_gap(now.since(self.last_token));
         }
         self.tally.preemption.add(self.preempted);
         self.tally
     }
 
-    fn span(&mut self, gap: Duration) {
+    fn record_gap(&mut self, gap: Duration) {
         let expected = self.objective.between_tokens;
         self.tally.stall.total += micros(gap);
         if gap > expected * STALL_FACTOR {
@@ -246,34 +247,37 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Counts by time, in slots of one width that are written over in a circle.
+/// A ring buffer of counts in time slots of equal width.
 #[derive(Clone, Debug)]
 struct Ring {
+    /// Width of a slot in microseconds.
     width: u64,
+    /// The number of the time slot since the epoch, and its counts.
     slots: Vec<(u64, Tally)>,
 }
 
 impl Ring {
-    fn open(width: Duration, slots: usize) -> Self {
+    fn new(width: Duration, slots: usize) -> Self {
         Self { width: micros(width), slots: vec![(0, Tally::default()); slots] }
     }
 
     fn record(&mut self, now: Time, tally: Tally) {
-        let epoch = now.as_micros() / self.width;
-        let index = (epoch % self.slots.len() as u64) as usize;
+        let number = now.as_micros() / self.width;
+        let index = (number % self.slots.len() as u64) as usize;
         let slot = &mut self.slots[index];
-        if slot.0 != epoch {
-            *slot = (epoch, Tally::default());
+        if slot.0 != number {
+            *slot = (number, Tally::default());
         }
         slot.1 += tally;
     }
 
-    fn over(&self, now: Time, window: Duration) -> Tally {
-        let epoch = now.as_micros() / self.width;
-        let reach = micros(window) / self.width;
+    /// Returns the sum of the counts over the window that ends now.
+    fn sum(&self, now: Time, window: Duration) -> Tally {
+        let last = now.as_micros() / self.width;
+        let count = micros(window) / self.width;
         let mut sum = Tally::default();
-        for (at, tally) in &self.slots {
-            if *at <= epoch && epoch - at < reach {
+        for (number, tally) in &self.slots {
+            if *number <= last && last - number < count {
                 sum += *tally;
             }
         }
@@ -281,13 +285,14 @@
     }
 }
 
-/// Slots of the short windows: five minutes by five seconds.
+/// Width and number of the slots for the shortest window: five minutes in slots of five seconds.
 const FINE: (Duration, usize) = (Duration::from_secs(5), 60);
 
-/// Slots of the long windows: six hours by five minutes. Both rings together take 12 KB a service.
+/// The same for the other windows: six hours in slots of five minutes. Both rings together take
+/// 12 KB for each service.
 const COARSE: (Duration, usize) = (Duration::from_secs(300), 72);
 
-/// What one process remembers of one service.
+/// The counts of one service in one process.
 #[derive(Clone, Debug)]
 pub struct History {
     fine: Ring,
@@ -296,22 +301,22 @@
 
 impl Default for History {
     fn default() -> Self {
-        Self { fine: Ring::open(FINE.0, FINE.1), coarse: Ring::open(COARSE.0, COARSE.1) }
+        Self { fine: Ring::new(FINE.0, FINE.1), coarse: Ring::new(COARSE.0, COARSE.1) }
     }
 }
 
 impl History {
-    /// Takes in counts of just now.
+    /// Records counts for the current time.
     pub fn record(&mut self, now: Time, tally: Tally) {
         self.fine.record(now, tally);
         self.coarse.record(now, tally);
     }
 
-    /// One reading for each measure.
+    /// Returns one reading for each measure.
     pub fn readings(&self, now: Time, objective: &Objective) -> Vec<Reading> {
         let windows = WINDOWS.map(|window| match window == WINDOWS[0] {
-            true => self.fine.over(now, window),
-            false => self.coarse.over(now, window),
+            true => self.fine.sum(now, window),
+            false => self.coarse.sum(now, window),
         });
         let reading = |measure: Measure| Reading {
             measure,
@@ -328,14 +333,14 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// Within budget, or too little seen.
+    /// Within budget, or too few events to tell.
     #[default]
     #[display("ok")]
     Ok,
-    /// The budget goes too fast for the week: look today.
+    /// The budget would be spent within a week: needs attention within a day.
     #[display("slow")]
     Slow,
-    /// The budget goes within days: look at once.
+    /// The budget would be spent within days: needs attention at once.
     #[display("fast")]
     Fast,
 }
@@ -345,33 +350,33 @@
 pub struct Reading {
     /// What is measured.
     pub measure: Measure,
-    /// The share that may be bad.
+    /// Share that may be bad.
     pub budget: f64,
     /// The counts over [`WINDOWS`].
     pub windows: [Count; 4],
 }
 
 impl Reading {
-    /// Burn over each window: the bad share in budgets.
-    pub fn burns(&self) -> [f64; 4] {
+    /// Returns the burn rate over each window: the bad share divided by the budget.
+    pub fn burn_rates(&self) -> [f64; 4] {
         self.windows.map(|count| count.share() / self.budget.max(f64::MIN_POSITIVE))
     }
 
-    /// Adds what another process read of the same measure.
+    /// Adds the counts of the same measure from another process.
     pub fn merge(&mut self, other: &Self) {
         for (own, more) in self.windows.iter_mut().zip(other.windows) {
             *own += more;
         }
     }
 
-    /// How urgent it is.
+    /// Returns how urgent the reading is.
     pub fn level(&self) -> Level {
-        let [five_minutes, half_hour, hour, six_hours] = self.burns();
-        let enough = |window: usize| self.windows[window].total >= self.measure.least();
-        if enough(2) && five_minutes >= FAST && hour >= FAST {
+        let [five_minutes, half_hour, hour, six_hours] = self.burn_rates();
+        let enough = |window: usize| self.windows[window].total >= self.measure.min_total();
+        if enough(2) && five_minutes >= FAST_BURN && hour >= FAST_BURN {
             return Level::Fast;
         }
-        if enough(3) && half_hour >= SLOW && six_hours >= SLOW {
+        if enough(3) && half_hour >= SLOW_BURN && six_hours >= SLOW_BURN {
             return Level::Slow;
         }
         Level::Ok
@@ -380,7 +385,7 @@
 
 impl fmt::Display for Reading {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [short, _, _, long] = self.burns();
+        let [short, _, _, long] = self.burn_rates();
         write!(f, "{} burns {short:.1} (5 min), {long:.1} (6 h): {}", self.measure, self.level())
     }
 }
--- a/crates/policy/tests/burn.rs
+++ b/crates/policy/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: what is counted, over which windows, and when it is urgent.
+//! Service-level burn rates: what is counted, over which windows, and which level it raises.
 
 use std::time::Duration;
 
@@ -24,19 +24,19 @@
 
 fn level(history: &History, now: Time, measure: Measure) -> Level {
     let readings = history.readings(now, &OBJECTIVE);
-    readings.iter().find(|r| r.measure == measure).expect("every measure is read").level()
+    readings.iter().find(|r| r.measure == measure).expect("a reading of every measure").level()
 }
 
-/// A page whose first token comes late, whose second is late but no halt, and which then halts for
-/// three seconds while its engine makes room.
+/// An answer with a late first token, one late token that is no stall, and a stall of three seconds
+/// in which its engine preempts it.
 #[test]
-fn one_answer_counts_under_each_measure() {
-    let mut progress = Progress::open(OBJECTIVE, at(0));
+fn one_answer_counts_for_each_measure() {
+    let mut progress = Progress::new(OBJECTIVE, at(0));
     for millis in [400, 450, 550, 3_550] {
-        progress.token(at(millis));
+        progress.record_token(at(millis));
     }
-    progress.preempted();
-    progress.preempted();
+    progress.record_preemption();
+    progress.record_preemption();
     let tally = progress.finish(at(3_560));
     assert_eq!(tally.get(Measure::FirstToken), Count { total: 1, bad: 1 });
     assert_eq!(tally.get(Measure::BetweenTokens), Count { total: 3, bad: 2 });
@@ -45,19 +45,20 @@
     assert_eq!(tally.get(Measure::Refusal), Count { total: 1, bad: 0 });
 }
 
-/// An answer that hangs never sends the token whose gap would be measured; its caller gives up.
+/// Guards against a hang going uncounted: an answer that hangs until its caller cancels it never
+/// sends the token that would end the gap.
 #[test]
-fn an_answer_that_hangs_until_given_up_was_stalled() {
-    let mut progress = Progress::open(OBJECTIVE, at(0));
-    progress.token(at(100));
+fn answer_that_hangs_until_cancelled_is_stalled() {
+    let mut progress = Progress::new(OBJECTIVE, at(0));
+    progress.record_token(at(100));
     let tally = progress.finish(at(60_100));
     assert_eq!(tally.get(Measure::Stall), Count { total: 60_000_000, bad: 59_943_000 });
 }
 
-/// Ten bad minutes in a good hour: urgent while they last, quiet soon after, though the hour's
-/// window still holds them. With the long window alone the alert would ring for most of an hour.
+/// Guards against an alert outlasting its cause. Ten bad minutes stay in the window of an hour, so
+/// that with the long window alone the alert would last for most of an hour.
 #[test]
-fn an_alert_ends_soon_after_its_cause() {
+fn alert_ends_soon_after_its_cause() {
     let mut history = History::default();
     for minute in 0..30 {
         (0..100).for_each(|_| {
@@ -77,10 +78,10 @@
     assert_ne!(level(&history, minutes(46), Measure::Refusal), Level::Fast);
 }
 
-/// At three in the morning one of three requests is refused: a third is far over budget, and no
-/// reason to wake anybody.
+/// Guards against an alert on a few requests: one refusal of two at night is far over budget, but
+/// no incident.
 #[test]
-fn a_handful_of_requests_raises_nothing() {
+fn few_requests_raise_no_level() {
     let mut history = History::default();
     history.record(minutes(1), Tally::refused());
     history.record(minutes(1), Tally::plain(&OBJECTIVE, Duration::ZERO));
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn slots_written_over_and_an_idle_day_leave_nothing_behind() {
+fn slots_expire_over_an_idle_day() {
     let mut history = History::default();
     (0..200).for_each(|_| history.record(minutes(0), Tally::refused()));
     let readings = history.readings(minutes(24 * 60), &OBJECTIVE);
@@ -96,11 +97,11 @@
 }
 
 #[test]
-fn readings_of_two_hosts_add_up() {
+fn readings_of_two_hosts_are_summed() {
     let mut history = History::default();
     history.record(minutes(0), Tally::refused());
     let mut one = history.readings(minutes(0), &OBJECTIVE);
     one[4].merge(&history.readings(minutes(0), &OBJECTIVE)[4]);
     assert_eq!(one[4].windows[0], Count { total: 2, bad: 2 });
-    assert_eq!(one[4].burns()[0].round(), 100.0);
+    assert_eq!(one[4].burn_rates()[0].round(), 100.0);
 }
--- a/crates/tool/src/burn.rs
+++ b/crates/tool/src/burn.rs
@@ -66,7 +66,7 @@
         readings.iter().map(move |reading| Row {
             service,
             reading,
-            burns: reading.burns(),
+            burns: reading.burn_rates(),
             level: reading.level(),
         })
     });
