--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -17,7 +17,6 @@
 
 pub use crate::ask::{Ask, Class, Grounds, Outcome, Reason, Refusal, Report, Verdict};
 use crate::curve::Curve;
-use crate::drain::Drain;
 use crate::id;
 use crate::late;
 use crate::length::{Book, Mark};
@@ -27,6 +26,7 @@
 use crate::queue::{BOUND, Item, Queue};
 use crate::retry;
 use crate::slot::Slot;
+use crate::throughput::Meter;
 use crate::time::Time;
 use crate::unit::Tokens;
 use crate::usage::Usage;
@@ -87,7 +87,7 @@
     index: BTreeMap<id::Target, usize>,
     running: HashMap<id::Request, Running>,
     queue: Queue,
-    drain: Drain,
+    drain: Meter,
     book: Book,
     usage: Usage,
     /// The sum of all running answers' curves.
@@ -127,7 +127,7 @@
             index: BTreeMap::new(),
             running: HashMap::new(),
             queue,
-            drain: Drain::default(),
+            drain: Meter::default(),
             book: Book::open(),
             usage: Usage::default(),
             all: Curve::default(),
@@ -163,7 +163,7 @@
     /// Decides on a new request, or on a further attempt of one that failed before its answer.
     pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Ask) -> Verdict {
         self.weigh(now);
-        self.drain.pass(now, !self.queue.is_empty());
+        self.drain.advance(now, !self.queue.is_empty());
         let again = ask.repeat;
         if let Some(verdict) = self.without_targets(rng) {
             return verdict;
@@ -268,7 +268,7 @@
     /// Notes that an attempt ended and frees what it held; a queued request is forgotten.
     pub fn finish(&mut self, now: Time, request: id::Request, outcome: Outcome) {
         let Some(running) = self.running.remove(&request) else {
-            self.drain.pass(now, !self.queue.is_empty());
+            self.drain.advance(now, !self.queue.is_empty());
             self.queue.remove(request);
             return;
         };
@@ -307,7 +307,7 @@
             return Vec::new();
         }
         self.weigh(now);
-        self.drain.pass(now, true);
+        self.drain.advance(now, true);
         self.queue.demote(now, START);
         let mut decided = Vec::new();
         if self.slots.iter().any(|slot| slot.cordoned)
@@ -341,7 +341,7 @@
             let curve = self.curve(&ask, 0);
             if let Some(at) = self.place(now, rng, &ask, &curve) {
                 let item = self.queue.pop(now, class, &workspace)?;
-                self.drain.take(item.work);
+                self.drain.record(item.work);
                 return Some((ask.request, self.send(now, at, item.ask, item.work)));
             }
         }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use crate::ask::{Ask, Class};
-use crate::drain::Drain;
 use crate::id;
+use crate::throughput::Meter;
 use crate::time::Time;
 
 /// The most requests that wait at one gate; a request takes about 300 bytes.
@@ -42,7 +42,7 @@
     /// Work received for its weight: the virtual time of fair queueing.
     received: f64,
     /// How fast its own line drains.
-    drain: Drain,
+    drain: Meter,
 }
 
 /// Where a request waits.
@@ -122,7 +122,7 @@
         let account = self.accounts.entry(workspace.clone()).or_default();
         let flows = self.classes.entry(item.ask.class).or_default();
         let waiting = flows.contains_key(&workspace);
-        account.drain.pass(now, waiting);
+        account.drain.advance(now, waiting);
         if !waiting {
             account.received = account.received.max(self.virtual_time);
         }
@@ -135,7 +135,7 @@
     pub fn charge(&mut self, workspace: &id::Workspace, work: f64) {
         let weight = self.weight(workspace);
         let floor = self.virtual_time;
-        let new = || Account { received: floor, drain: Drain::default() };
+        let new = || Account { received: floor, drain: Meter::default() };
         let account = self.accounts.entry(workspace.clone()).or_insert_with(new);
         account.received = (account.received + work / weight).max(0.0);
     }
@@ -187,8 +187,8 @@
     pub fn pop(&mut self, now: Time, class: Class, workspace: &id::Workspace) -> Option<Item> {
         let work = self.head(class, workspace)?.work;
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.drain.pass(now, true);
-            account.drain.take(work);
+            account.drain.advance(now, true);
+            account.drain.record(work);
             self.virtual_time = self.virtual_time.max(account.received);
         }
         let item = self.take(class, workspace, 0)?;
@@ -329,7 +329,7 @@
     ) -> Option<Duration> {
         let flow = self.classes.get(&class)?.get(workspace)?;
         let account = self.accounts.get_mut(workspace)?;
-        account.drain.pass(now, true);
+        account.drain.advance(now, true);
         account.drain.wait(flow.work + work)
     }
 
