--- a/crates/policy/src/slot.rs
+++ b/crates/policy/src/slot.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use crate::concurrency::Limiter;
 use crate::exclusion::Exclusion;
 use crate::id;
 use crate::newcomer::Arrival;
-use crate::pace::Pace;
 use crate::placement;
 use crate::room::Room;
 use crate::share::Share;
@@ -50,7 +50,7 @@
     pub(crate) weight: f64,
     pub(crate) share: Share,
     pub(crate) room: Room,
-    pub(crate) pace: Pace,
+    pub(crate) pace: Limiter,
     /// Streams sent that have produced nothing yet.
     pub(crate) unstarted: u32,
     /// Prompt tokens of these.
@@ -79,7 +79,7 @@
             weight: 1.0,
             share: Share::default(),
             room: Room::default(),
-            pace: Pace::default(),
+            pace: Limiter::default(),
             unstarted: 0,
             unread: 0,
             others_unread: 0,
@@ -178,7 +178,7 @@
 
     /// Streams that the pace leaves this entry to add: its share of those below the bound.
     pub(crate) fn has_pace(&self, now: Time, share: f64) -> bool {
-        let bound = self.pace.bound(now);
+        let bound = self.pace.limit(now);
         let all = f64::from(self.room.all_streams());
         let own = f64::from(self.room.streams());
         // An entry below its equal part of the bound may always go on.
