--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -170,7 +170,7 @@
         if revision <= before && table.is_some() {
             return false;
         }
-        let new = Arc::new(Table::open(text));
+        let new = Arc::new(Table::new(text));
         *table = Some(Arc::clone(&new));
         drop(table);
         self.open_lanes(&new);
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -191,7 +191,7 @@
     let Some(route) = table.route(host, request.path()).cloned() else {
         return Err(refuse::no_route(&facts.request, revision));
     };
-    let workspace = match (&facts.key, table.wants_keys() && !route.public) {
+    let workspace = match (&facts.key, table.requires_keys() && !route.public) {
         (_, false) => None,
         (Some(key), true) => match table.workspace(key) {
             Some(workspace) => Some(workspace.clone()),
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -1,16 +1,17 @@
-//! Highest-random-weight hashing: every process ranks the same members alike without agreeing.
+//! Rendezvous (highest-random-weight) hashing: all processes rank the same members alike without
+//! coordination.
 //!
-//! When a member leaves, only the keys it held move, so callers, queues and stewardships stay put
-//! through a replacement. See `docs/DESIGN.md`, section "What callers see".
+//! When a member leaves, only the keys that it owned move, so callers, queues and ownership of
+//! engines stay where they are when another member is replaced.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The weight of `member` for `key`; the highest weight is the key's home.
+/// Returns the weight of `member` for `key`; the member with the highest weight owns the key.
 pub fn weight(key: &str, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
 }
 
-/// Orders `members` by descending weight for `key`; equal weights fall back to the names.
+/// Orders `members` by descending weight for `key`, and by name where weights are equal.
 pub fn rank<'a, T>(key: &str, members: &'a [T], name: impl Fn(&T) -> &str) -> Vec<&'a T> {
     let mut ranked: Vec<&T> = members.iter().collect();
     ranked.sort_by(|a, b| {
@@ -19,21 +20,22 @@
     ranked
 }
 
-/// Reorders `ranked` so that neighbours in the list share no failure domain where that can be.
+/// Reorders `ranked` so that consecutive members share no failure domain where possible; the first
+/// member stays first.
 ///
-/// A caller whose first entry went with its failure domain tries the second next, which must not
-/// have gone with it. The first stays first.
+/// A caller whose first entry was lost with its failure domain tries the second one next, which
+/// must not have been lost with it.
 pub fn spread<'a, T>(ranked: Vec<&'a T>, domain: impl Fn(&T) -> &str) -> Vec<&'a T> {
     let mut left = ranked;
     let mut spread: Vec<&'a T> = Vec::with_capacity(left.len());
-    let mut round: Vec<&str> = Vec::new();
+    let mut used: Vec<&str> = Vec::new();
     while !left.is_empty() {
-        let apart = left.iter().position(|member| !round.contains(&domain(member)));
-        if apart.is_none() {
-            round.clear();
+        let unused = left.iter().position(|member| !used.contains(&domain(member)));
+        if unused.is_none() {
+            used.clear();
         }
-        let member = left.remove(apart.unwrap_or(0));
-        round.push(domain(member));
+        let member = left.remove(unused.unwrap_or(0));
+        used.push(domain(member));
         spread.push(member);
     }
     spread
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,8 +1,9 @@
-//! Which service answers a request, for whom, and within which bounds.
+//! Routing configuration: which service answers a request, for which workspace and within which
+//! limits.
 //!
-//! A [`Text`] is what operators publish in one piece; a [`Table`] is the same, indexed for lookups
-//! on the request path. Neither knows how a text is written down: the product's own TOML and a
-//! platform's form are decoded into these types before anything is decided.
+//! A [`Text`] is one version of the configuration, which operators publish as a whole. A [`Table`]
+//! indexes it for lookups on the request path. Both are independent of the format of the
+//! configuration: fireflyhoist's own TOML and a platform's format are decoded into these types.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,78 +15,79 @@
 use crate::id;
 use crate::unit::{Bytes, Tokens};
 
-/// What may be done again when an attempt fails.
+/// The kind of requests of a route, which decides whether a failed attempt may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Idempotent: it may run any number of times.
+    /// Idempotent: a request may run any number of times.
     Safe,
-    /// Not idempotent: it may run at most once.
+    /// Not idempotent: a request may run at most once.
     Unsafe,
-    /// A generation, answered as events with increasing ids.
+    /// A generation, which is answered as a stream of events with increasing ids.
     Stream {
-        /// Whether another run may go on after the last event that the caller has.
+        /// Whether another run may resume after the last event that the caller received.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether an attempt of unknown fate may be followed by another.
+    /// Whether a request may be repeated after an attempt with an unknown outcome.
     pub fn is_idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Whether it is a generation.
+    /// Whether the requests are generations.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// One service of a route, and how much of the route's traffic it takes.
+/// One service of a route and the share of the route's traffic that it receives.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
     /// The service.
     pub service: id::Service,
-    /// Its weight among the parts of its route.
+    /// Its weight relative to the other parts of the route.
     pub weight: u32,
 }
 
-/// Requests for one host name under one path prefix.
+/// How requests for one host name under one path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The operators' name for it.
+    /// The name that operators gave it.
     pub name: SmolStr,
-    /// The host name that callers ask for.
+    /// The host name of the requests.
     pub host: SmolStr,
-    /// Where the path begins; it starts and ends with a slash.
+    /// The prefix of their path; it starts and ends with a slash.
     pub prefix: SmolStr,
-    /// What may be repeated.
+    /// The kind of the requests.
     pub kind: Kind,
-    /// The longest time that a caller is kept waiting for the end of its answer.
+    /// Maximum time until the end of an answer.
     pub timeout: Duration,
-    /// The time within which an answer, or its first event, is on time.
+    /// Maximum time to the answer, or to its first event, that is on time.
     pub objective: Duration,
-    /// The longest pause between events of an answer that is on time.
+    /// Maximum time between events of an answer that is on time.
     pub gap: Option<Duration>,
-    /// The longest that a caller waits for the first event of an answer, where it is known: whoever
-    /// is not served by then is to be told before it leaves.
+    /// How long a caller waits for the first event of an answer before it leaves, if known. A
+    /// request that can't be served within this time is refused before its caller leaves.
     #[serde(default)]
     pub silence: Option<Duration>,
-    /// Rank among routes; 0 goes first.
+    /// Priority among routes; 0 is the highest.
     pub rank: u8,
-    /// How many targets one request may be sent to.
+    /// Maximum number of targets to which one request is sent.
     pub attempts: u32,
-    /// Whether it may be asked without a key.
+    /// Whether callers need no key.
     pub public: bool,
-    /// The services that share its traffic.
+    /// The services that share the traffic.
     pub parts: Vec<Part>,
 }
 
 impl Route {
-    /// The service for a request, the same at every entry for the same `draw`.
+    /// Chooses the service for a request, the same at every entry for the same `draw`; `None` if
+    /// the route has no services.
     pub fn service(&self, draw: u64) -> Option<&id::Service> {
-        let whole: u64 = self.parts.iter().map(|part| u64::from(part.weight)).sum();
-        let mut left = draw % whole.max(1);
+        let total: u64 = self.parts.iter().map(|part| u64::from(part.weight)).sum();
+        let mut left = draw % total.max(1);
         for part in &self.parts {
             let weight = u64::from(part.weight);
             if left < weight {
@@ -97,18 +99,18 @@
     }
 }
 
-/// What a service's engines can do; plain services have none of it.
+/// Properties of a service's engines; plain services have no engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Generations that one engine batches.
+    /// Maximum number of generations in the batch of one engine.
     pub slots: u32,
-    /// What its memory holds.
+    /// Capacity of the memory of one engine.
     pub memory: Tokens,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u32,
-    /// Whether a run can be moved to another engine.
+    /// Whether a running generation can be migrated to another engine.
     pub moves: bool,
-    /// Whether a run's memory can be copied to another engine as it grows.
+    /// Whether the memory of a running generation can be replicated to another engine as it grows.
     pub backups: bool,
 }
 
@@ -117,62 +119,63 @@
 pub struct Service {
     /// Its name.
     pub name: id::Service,
-    /// Connections that one target takes from all entries together.
+    /// Maximum number of connections that one target takes from all entries together.
     pub connections: u32,
-    /// Set where its targets are engines.
+    /// Set if its targets are engines.
     pub engine: Option<Engine>,
-    /// Set where its targets are cold after a start.
+    /// Set if its targets need a warm-up after a start.
     #[serde(default)]
     pub warmup: Option<Warmup>,
 }
 
-/// A customer, and the keys by which its callers are known.
+/// A customer and the keys that identify its callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name in decisions.
+    /// Its name as decisions use it.
     pub id: id::Workspace,
-    /// Its name as targets are told it.
+    /// Its name as it is sent to targets.
     pub label: SmolStr,
-    /// Keys of its callers.
+    /// The keys of its callers.
     pub keys: Vec<SmolStr>,
-    /// Its rank, which goes before that of the route.
+    /// Its priority, which overrides that of the route.
     pub rank: Option<u8>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bounds {
-    /// The largest body.
+    /// Maximum size of a request body.
     pub body: Bytes,
 }
 
-/// One version of what operators want.
+/// One version of the configuration, as operators publish it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Text {
-    /// Grows with each version.
+    /// Number of the version; it grows with each one.
     pub revision: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// All workspaces; empty where callers need no key.
+    /// All workspaces; empty if callers need no key.
     pub workspaces: Vec<Workspace>,
-    /// Bounds on callers.
+    /// Limits on what callers may send.
     pub bounds: Bounds,
 }
 
-/// A text indexed for the request path.
+/// A [`Text`] with indexes for lookups on the request path.
 #[derive(Clone, Debug)]
 pub struct Table {
     text: Text,
-    /// Routes of each host name, longest prefix first.
+    /// Indexes of the routes of each host name, longest prefix first.
     hosts: HashMap<SmolStr, Vec<usize>>,
+    /// Index of the workspace of each key.
     keys: HashMap<SmolStr, usize>,
 }
 
 impl Table {
-    /// Indexes a text.
-    pub fn open(text: Text) -> Self {
+    /// Creates a table from a text.
+    pub fn new(text: Text) -> Self {
         let mut hosts: HashMap<SmolStr, Vec<usize>> = HashMap::new();
         for (at, route) in text.routes.iter().enumerate() {
             hosts.entry(route.host.to_ascii_lowercase().into()).or_default().push(at);
@@ -187,12 +190,12 @@
         Self { text, hosts, keys }
     }
 
-    /// The text as published.
+    /// Returns the text as published.
     pub fn text(&self) -> &Text {
         &self.text
     }
 
-    /// The route with the longest prefix of `path` among those of `host`, whose port is ignored.
+    /// Returns the route of `host` with the longest prefix of `path`; ignores the port of `host`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.hosts.get(host.as_str())?;
@@ -200,17 +203,17 @@
         routes.into_iter().find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// The workspace that holds a key.
+    /// Returns the workspace that a key belongs to.
     pub fn workspace(&self, key: &str) -> Option<&Workspace> {
         self.keys.get(key).map(|at| &self.text.workspaces[*at])
     }
 
-    /// Whether callers of a route that is not public must show a key.
-    pub fn wants_keys(&self) -> bool {
+    /// Whether callers of a route that is not public must send a key.
+    pub fn requires_keys(&self) -> bool {
         !self.text.workspaces.is_empty()
     }
 
-    /// A service of the text.
+    /// Returns the service of this name.
     pub fn service(&self, name: &id::Service) -> Option<&Service> {
         self.text.services.iter().find(|service| service.name == *name)
     }
--- a/crates/policy/src/unit.rs
+++ b/crates/policy/src/unit.rs
@@ -1,4 +1,4 @@
-//! Sizes, counts and rates, each a type of its own.
+//! Sizes, counts and rates as distinct types, so that they cannot be mixed up.
 
 use derive_more::{Add, AddAssign, Display, FromStr, Sub, Sum};
 use serde::{Deserialize, Serialize};
@@ -14,12 +14,12 @@
         pub struct $name($inner);
 
         impl $name {
-            /// Wraps a plain number.
+            /// Creates a value from a plain number.
             pub const fn new(number: $inner) -> Self {
                 Self(number)
             }
 
-            /// The plain number.
+            /// Returns the plain number.
             pub const fn get(self) -> $inner {
                 self.0
             }
@@ -32,9 +32,9 @@
     Tokens(u64): Eq Ord Hash;
     /// A size in bytes.
     Bytes(u64): Eq Ord Hash;
-    /// Tokens a second.
+    /// A rate in tokens a second.
     TokenRate(f64):;
-    /// Requests a second.
+    /// A rate in requests a second.
     RequestRate(f64):;
     /// A share of a whole, from 0 to 1.
     Share(f64):;
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which route and service answer a request.
+//! The choice of route, service and workspace for a request.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
         keys: vec![key.into()],
         rank: None,
     };
-    Table::open(Text {
+    Table::new(Text {
         revision: 1,
         routes: vec![
             route("all", "a.example", "/"),
@@ -49,30 +49,31 @@
     shortest = { "a.example", "/zzz", Some("all") },
     longer = { "a.example", "/pages/1", Some("pages") },
     longest = { "a.example", "/pages/old/1", Some("old") },
-    not_half_a_name = { "a.example", "/pages", Some("all") },
+    prefix_without_slash = { "a.example", "/pages", Some("all") },
     port = { "a.example:8740", "/pages/1", Some("pages") },
-    letters = { "A.Example", "/pages/1", Some("pages") },
-    letters_of_the_text = { "b.example", "/x/1", Some("other") },
-    no_prefix = { "b.example", "/y/1", None },
-    no_host = { "c.example", "/x/1", None },
+    case_of_request = { "A.Example", "/pages/1", Some("pages") },
+    case_of_configuration = { "b.example", "/x/1", Some("other") },
+    unknown_prefix = { "b.example", "/y/1", None },
+    unknown_host = { "c.example", "/x/1", None },
 )]
-fn the_longest_prefix_of_the_host_decides(host: &str, path: &str, name: Option<&str>) {
+fn longest_prefix_of_host_wins(host: &str, path: &str, name: Option<&str>) {
     let table = table();
     assert_eq!(table.route(host, path).map(|route| route.name.as_str()), name);
 }
 
 #[test]
-fn a_key_names_its_workspace() {
+fn key_identifies_workspace() {
     let table = table();
     assert_eq!(table.workspace("k-2").map(|w| w.label.as_str()), Some("two"));
     assert_eq!(table.workspace("k-3"), None);
-    assert!(table.wants_keys());
+    assert!(table.requires_keys());
 }
 
-/// Entries must agree on where a request goes while a route is split, and the split must hold.
+/// Guards against entries sending the same request to different services of a split route, and
+/// against shares that differ from the weights.
 #[test]
-fn a_split_follows_its_weights() {
+fn split_follows_weights() {
     let route = route("split", "a", "/");
-    let news = (0..1_000).filter(|draw| route.service(*draw).is_some_and(|s| s.as_str() == "new"));
-    assert_eq!(news.count(), 100);
+    let new = (0..1_000).filter(|draw| route.service(*draw).is_some_and(|s| s.as_str() == "new"));
+    assert_eq!(new.count(), 100);
 }
