--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -4,9 +4,10 @@
 //! asks for a retry. Unbounded retries multiply the load exactly when there is the least headroom,
 //! and keep the service down after the cause is gone.
 //!
-//! Each success adds [`PER_SUCCESS`] of a retry, which keeps retries below a tenth of all attempts.
-//! The budget holds at most [`BURST`] retries: an engine that dies cuts about that many streams of
-//! one entry at once, and each of them may be retried elsewhere.
+//! Each success adds [`PER_SUCCESS`] of a retry, which keeps retries below a tenth of all attempts,
+//! the limit that operators set for overload. The budget holds at most [`BURST`] retries: an engine
+//! that dies cuts about that many streams of one entry at once, and each of them may be retried
+//! elsewhere.
 
 /// Retries that one success adds to the budget.
 pub const PER_SUCCESS: f64 = 0.1;
