--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -4,7 +4,6 @@
 
 use derive_more::{Display, Error};
 use fireflyhoist_policy::cold;
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::cordon;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::{Change, Target};
@@ -12,6 +11,7 @@
 use fireflyhoist_policy::poison;
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::presence::Update;
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::roster::Member;
 use fireflyhoist_policy::target_limit;
 use fireflyhoist_policy::unit::Tokens;
@@ -100,7 +100,7 @@
     /// What decides which entry answers.
     pub(crate) fn key(&self) -> String {
         match self {
-            Self::Trial(record) => record.print.to_string(),
+            Self::Trial(record) => record.fingerprint.to_string(),
             Self::Send(word) => word.target.to_string(),
             Self::Cold(word) => word.target.to_string(),
         }
@@ -141,7 +141,7 @@
     /// The sender has refused a request.
     Refused {
         /// Which.
-        print: Print,
+        print: Fingerprint,
         /// For how many milliseconds it has been wanted.
         age_ms: u64,
     },
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -11,11 +11,11 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-use fireflyhoist_policy::comeback::{Ledger, Print};
 use fireflyhoist_policy::cordon::Cordons;
 use fireflyhoist_policy::gate;
 use fireflyhoist_policy::lease::Leases;
 use fireflyhoist_policy::position::Position;
+use fireflyhoist_policy::resubmission::{Fingerprint, Ledger};
 use fireflyhoist_policy::retry;
 use fireflyhoist_policy::route::{Table, Text};
 use fireflyhoist_policy::stagger::Order;
@@ -170,7 +170,7 @@
         if revision <= before && table.is_some() {
             return false;
         }
-        let new = Arc::new(Table::open(text));
+        let new = Arc::new(Table::new(text));
         *table = Some(Arc::clone(&new));
         drop(table);
         self.open_lanes(&new);
@@ -211,10 +211,10 @@
         }
     }
 
-    fn retries(&self) -> retry::Terms {
+    fn retries(&self) -> retry::Limits {
         let bounds = self.bounds();
         let earned = bounds.retry_ratio * RETRY_EARNED;
-        retry::Terms::part(earned, bounds.retry_burst, self.actives.load(Ordering::Acquire))
+        retry::Limits::share(earned, bounds.retry_burst, self.actives.load(Ordering::Acquire))
     }
 
     fn terms(&self) -> gate::Settings {
@@ -247,13 +247,13 @@
     }
 
     /// Notes that a request was refused, here or by another entry, which has been wanted for `age`.
-    pub(crate) fn note_refused(&self, print: Print, age: Duration) {
+    pub(crate) fn note_refused(&self, print: Fingerprint, age: Duration) {
         let now = self.clock.now();
-        self.refused.lock().note(now, print, now - age);
+        self.refused.lock().record(now, print, now - age);
     }
 
     /// Since when a request has been wanted that comes back after a refusal.
-    pub(crate) fn wanted_since(&self, print: Print) -> Option<Time> {
+    pub(crate) fn wanted_since(&self, print: Fingerprint) -> Option<Time> {
         self.refused.lock().since(self.clock.now(), print)
     }
 
--- a/crates/gateway/src/process/state/poison.rs
+++ b/crates/gateway/src/process/state/poison.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::{Leases, Target};
-use fireflyhoist_policy::poison::{self, Incarnation, Ledger, Record, Verdict};
+use fireflyhoist_policy::poison::{self, Decision, Incarnation, Ledger, Record};
+use fireflyhoist_policy::resubmission::Fingerprint;
 use fireflyhoist_policy::time::Time;
 use ntex::time::timeout;
 use parking_lot::Mutex;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Doubt {
     at: Time,
-    print: Print,
+    print: Fingerprint,
     target: Target,
     /// For how long the run had been under way.
     lasted: Duration,
@@ -40,7 +40,7 @@
 pub(super) struct Poison {
     ledger: Mutex<Ledger>,
     doubts: Mutex<VecDeque<Doubt>>,
-    pending: Mutex<HashMap<Print, usize>>,
+    pending: Mutex<HashMap<Fingerprint, usize>>,
     settled: Notify,
 }
 
@@ -48,11 +48,11 @@
 #[derive(Debug)]
 pub(crate) struct Inspection {
     process: Arc<Process>,
-    print: Print,
+    print: Fingerprint,
 }
 
 impl Inspection {
-    pub(crate) fn open(process: &Arc<Process>, print: Print) -> Self {
+    pub(crate) fn open(process: &Arc<Process>, print: Fingerprint) -> Self {
         *process.poison.pending.lock().entry(print).or_default() += 1;
         Self { process: Arc::clone(process), print }
     }
@@ -79,20 +79,20 @@
     pub(crate) fn note_end(
         &self,
         at: Time,
-        print: Print,
+        print: Fingerprint,
         target: &Target,
         lasted: Duration,
     ) -> usize {
         let incarnation = Incarnation::of(target);
         let mut ledger = self.poison.ledger.lock();
-        let ends = ledger.note_end(self.clock.now(), at, print, incarnation, lasted);
+        let ends = ledger.record_crash(self.clock.now(), at, print, incarnation, lasted);
         drop(ledger);
         self.note_sent();
         ends
     }
 
     /// Notes that a run broke off at `at` at a target that took a connection right after.
-    pub(crate) fn doubt(&self, at: Time, print: Print, target: &Target, lasted: Duration) {
+    pub(crate) fn doubt(&self, at: Time, print: Fingerprint, target: &Target, lasted: Duration) {
         let mut doubts = self.poison.doubts.lock();
         if doubts.len() >= DOUBTS {
             doubts.pop_front();
@@ -130,33 +130,33 @@
     }
 
     /// Notes that a request was answered whole.
-    pub(crate) fn note_whole(&self, print: Print) {
-        self.poison.ledger.lock().note_whole(self.clock.now(), print);
+    pub(crate) fn note_whole(&self, print: Fingerprint) {
+        self.poison.ledger.lock().record_completion(self.clock.now(), print);
     }
 
     /// How many targets have ended under a request.
-    pub(crate) fn ends(&self, print: Print) -> usize {
-        self.poison.ledger.lock().ends(print)
+    pub(crate) fn ends(&self, print: Fingerprint) -> usize {
+        self.poison.ledger.lock().crashes(print)
     }
 
     /// Requests that are held back.
     pub(crate) fn held_back(&self) -> usize {
-        self.poison.ledger.lock().held()
+        self.poison.ledger.lock().suspects()
     }
 
     /// Whether a request is sent, tried or refused.
-    pub(crate) fn verdict(&self, print: Print) -> Verdict {
-        self.poison.ledger.lock().verdict(self.clock.now(), print)
+    pub(crate) fn verdict(&self, print: Fingerprint) -> Decision {
+        self.poison.ledger.lock().decide(self.clock.now(), print)
     }
 
     /// Waits until it is known what became of the targets at which runs of a request broke off, where
     /// it would be held back if they had ended.
-    pub(crate) async fn settle(&self, print: Print, within: Duration) {
+    pub(crate) async fn settle(&self, print: Fingerprint, within: Duration) {
         let settled = async {
             loop {
                 let notified = self.poison.settled.notified();
                 let pending = self.poison.pending.lock().get(&print).copied().unwrap_or_default();
-                if pending == 0 || self.ends(print) + pending < poison::SUSPECT {
+                if pending == 0 || self.ends(print) + pending < poison::SUSPECT_CRASHES {
                     return;
                 }
                 notified.await;
@@ -167,7 +167,7 @@
     }
 
     /// Grants a trial where one is due; only for the entry that keeps the request's record.
-    pub(crate) fn try_trial(&self, print: Print) -> Verdict {
+    pub(crate) fn try_trial(&self, print: Fingerprint) -> Decision {
         let verdict = self.poison.ledger.lock().try_trial(self.clock.now(), print);
         self.note_sent();
         verdict
@@ -177,29 +177,29 @@
     pub(crate) fn hear_poison(&self, records: Vec<Record>) -> Vec<Record> {
         let now = self.clock.now();
         let mut ledger = self.poison.ledger.lock();
-        let news = ledger.hear(now, records);
+        let news = ledger.apply(now, records);
         ledger.records(now, news)
     }
 
     /// Tells the records of these again.
     pub(crate) fn pass_on_poison(&self, records: &[Record]) {
-        let prints = records.iter().map(|record| record.print).collect();
-        self.poison.ledger.lock().pass_on(prints);
+        let prints = records.iter().map(|record| record.fingerprint).collect();
+        self.poison.ledger.lock().forward(prints);
         self.note_sent();
     }
 
     /// What others should hear of.
     pub(crate) fn take_poison(&self) -> Vec<Record> {
-        self.poison.ledger.lock().take_news(self.clock.now())
+        self.poison.ledger.lock().take_updates(self.clock.now())
     }
 
     /// What an entry is told when its link opens.
     pub(crate) fn all_poison(&self) -> Vec<Record> {
-        self.poison.ledger.lock().all(self.clock.now(), FIRST)
+        self.poison.ledger.lock().snapshot(self.clock.now(), FIRST)
     }
 
     /// What is known of one request.
-    pub(crate) fn poison_record(&self, print: Print) -> Option<Record> {
+    pub(crate) fn poison_record(&self, print: Fingerprint) -> Option<Record> {
         self.poison.ledger.lock().records(self.clock.now(), [print]).pop()
     }
 }
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -18,7 +18,6 @@
 
 pub use crate::ask::{Ask, Class, Grounds, Outcome, Reason, Refusal, Report, Verdict};
 use crate::curve::Curve;
-use crate::drain::Drain;
 use crate::id;
 use crate::length::{Book, Mark};
 use crate::outlier::{Detector, Ejection, Sample};
@@ -28,6 +27,7 @@
 use crate::shedding;
 use crate::stagger::Order;
 use crate::target;
+use crate::throughput::Meter;
 use crate::time::Time;
 use crate::unit::Tokens;
 use crate::usage::Usage;
@@ -92,7 +92,7 @@
     index: BTreeMap<id::Target, usize>,
     running: HashMap<id::Request, Running>,
     queue: Queue,
-    drain: Drain,
+    drain: Meter,
     lengths: Book,
     usage: Usage,
     /// Sum of the curves of all running answers.
@@ -125,7 +125,7 @@
     /// Creates a gate without targets.
     pub fn open(settings: Settings) -> Self {
         let queue = Queue::open(settings.fair).with_spare_last(settings.shed_late);
-        let retries = retry::Budget::of(settings.retries);
+        let retries = retry::Budget::with_limits(settings.retries);
         Self {
             settings,
             entries: (1, None),
@@ -133,12 +133,12 @@
             index: BTreeMap::new(),
             running: HashMap::new(),
             queue,
-            drain: Drain::default(),
+            drain: Meter::default(),
             lengths: Book::open(),
             usage: Usage::default(),
             own: Curve::default(),
             typical: Curve::default(),
-            detector: Detector::open(),
+            detector: Detector::new(),
             retries,
             weights_read: Time::ZERO,
             held: 0.0,
@@ -157,8 +157,8 @@
     }
 
     /// Sets the budget of this entry for retries.
-    pub fn set_retries(&mut self, terms: retry::Terms) {
-        self.retries.set_terms(terms);
+    pub fn set_retries(&mut self, terms: retry::Limits) {
+        self.retries.set_limits(terms);
     }
 
     /// Sets the objective for the time between tokens of live generations.
@@ -169,7 +169,7 @@
     /// Decides on a new request, or on a retry of one that failed before its answer began.
     pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Ask) -> Verdict {
         self.refresh_weights(now);
-        self.drain.pass(now, !self.queue.is_empty());
+        self.drain.advance(now, !self.queue.is_empty());
         let again = ask.repeat;
         if let Some(verdict) = self.refuse_without_targets(rng) {
             return verdict;
@@ -235,7 +235,7 @@
                 running.first = Some(now);
                 running.sampled = (produced, now);
                 state.remove_unstarted(running.ask.prompt.get());
-                self.detector.answered(now, &state.name);
+                self.detector.record_answer(now, &state.name);
             }
             Some(_) => {
                 state.pace.sample(
@@ -282,7 +282,7 @@
     /// removed from the queue.
     pub fn finish(&mut self, now: Time, request: id::Request, outcome: Outcome) {
         let Some(running) = self.running.remove(&request) else {
-            self.drain.pass(now, !self.queue.is_empty());
+            self.drain.advance(now, !self.queue.is_empty());
             self.queue.remove(request);
             return;
         };
@@ -298,12 +298,12 @@
         self.queue.charge(workspace, done - running.work);
         match outcome {
             Outcome::Whole => {
-                self.retries.earn();
+                self.retries.record_success();
                 self.lengths.end(workspace, running.mark, running.produced);
                 if is_lookup(&running.ask) {
                     let sample = Sample::Latency(now.since(running.sent));
                     self.detector.record(now, &state.name, sample);
-                    self.detector.answered(now, &state.name);
+                    self.detector.record_answer(now, &state.name);
                 }
             }
             Outcome::Failed => {
@@ -321,7 +321,7 @@
             return Vec::new();
         }
         self.refresh_weights(now);
-        self.drain.pass(now, true);
+        self.drain.advance(now, true);
         self.queue.demote(now, FIRST_TOKEN);
         let mut decided = Vec::new();
         if self.targets.iter().any(|state| state.cordoned)
@@ -356,7 +356,7 @@
             let curve = self.curve(&ask, 0);
             if let Some(at) = self.place(now, rng, &ask, &curve) {
                 let item = self.queue.pop(now, class, &workspace)?;
-                self.drain.take(item.work);
+                self.drain.record(item.work);
                 return Some((ask.request, self.send(now, at, item.ask, item.work)));
             }
         }
@@ -371,12 +371,12 @@
         from: Observer,
         outcome: witness::Outcome,
     ) {
-        self.detector.hear(now, target, from, outcome);
+        self.detector.apply(now, target, from, outcome);
     }
 
     /// Takes the outcomes of this entry's requests that are to be announced to the other entries.
     pub fn take_outcomes(&mut self) -> Vec<(id::Target, witness::Outcome)> {
-        self.detector.take_news()
+        self.detector.take_updates()
     }
 
     /// Why a target is ejected and until when; `None` if it is not ejected.
--- a/crates/policy/src/gate/settings.rs
+++ b/crates/policy/src/gate/settings.rs
@@ -44,7 +44,7 @@
     /// all retries.
     pub charge_overnight: bool,
     /// Budget of this entry for retries.
-    pub retries: retry::Terms,
+    pub retries: retry::Limits,
 }
 
 impl Default for Settings {
@@ -65,7 +65,7 @@
             shed_late: false,
             outlier: true,
             charge_overnight: false,
-            retries: retry::Terms::default(),
+            retries: retry::Limits::default(),
         }
     }
 }
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -9,7 +9,7 @@
 //!
 //! So a late request takes room only where a third of an engine would stay free, which leaves room
 //! for requests that can still begin on time. If it finds none, it is refused soon, with a retry
-//! delay. If it returns, it is recognised as late ([`crate::comeback`]) and waits for spare
+//! delay. If it returns, it is recognised as late ([`crate::resubmission`]) and waits for spare
 //! capacity until its deadline.
 //!
 //! The cost is that a request that is late once is served after all that are not, or not at all.
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use crate::concurrency::Limiter;
 use crate::exclusion::Exclusion;
 use crate::id;
 use crate::memory::Memory;
-use crate::pace::Pace;
 use crate::placement;
 use crate::share::Share;
 use crate::stagger::Delay;
@@ -51,7 +51,7 @@
     pub(crate) weight: f64,
     pub(crate) share: Share,
     pub(crate) memory: Memory,
-    pub(crate) pace: Pace,
+    pub(crate) pace: Limiter,
     /// Streams that have not produced their first token.
     pub(crate) unstarted: u32,
     /// Prompt tokens of these streams.
@@ -80,7 +80,7 @@
             weight: 1.0,
             share: Share::default(),
             memory: Memory::default(),
-            pace: Pace::default(),
+            pace: Limiter::default(),
             unstarted: 0,
             unread: 0,
             others_unread: 0,
@@ -184,7 +184,7 @@
 
     /// Whether the bound on streams allows one more stream of this entry.
     pub(crate) fn has_stream_room(&self, now: Time, share: f64) -> bool {
-        let bound = self.pace.bound(now);
+        let bound = self.pace.limit(now);
         let all = f64::from(self.memory.all_streams());
         let own = f64::from(self.memory.streams());
         // An entry below its share of the bound may always send.
