--- a/crates/daemon/src/connection/engine.rs
+++ b/crates/daemon/src/connection/engine.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use fireflyhoist_policy::failover::Break;
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::session::Break;
 use fireflyhoist_wire::engine::{READER_HEADER, Start};
 use ntex::client::{Client, ClientRequest, ClientResponse};
 use ntex::http::{Method, Payload, StatusCode};
--- a/crates/daemon/src/connection/order.rs
+++ b/crates/daemon/src/connection/order.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use fireflyhoist_policy::order::promise::WRITE;
+use fireflyhoist_policy::order::lease::WRITE;
 use fireflyhoist_wire::order::{Observed, Order, PATH, Refused};
 use ntex::client::Client;
 use ntex::http::StatusCode;
--- a/crates/daemon/src/process/steward.rs
+++ b/crates/daemon/src/process/steward.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
+use fireflyhoist_policy::order::desired::{Declared, Fencing};
 use fireflyhoist_policy::order::fence::Mark;
+use fireflyhoist_policy::order::owner;
 use fireflyhoist_policy::order::pace::{self, Pacer};
 use fireflyhoist_policy::order::plan::{self, Observed, Order, Step};
-use fireflyhoist_policy::order::roll::{self, Status};
-use fireflyhoist_policy::order::steward;
-use fireflyhoist_policy::order::wanted::{Declared, Fencing};
+use fireflyhoist_policy::order::rollout::{self, Status};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_wire::platform::{Host, State};
 use futures_util::future::join_all;
@@ -75,7 +75,7 @@
         let names: Vec<id::Target> = engines.iter().map(|e| e.target.clone()).collect();
         let rate = snapshot.text.weight_store.map_or(0.0, |store| store.gib_per_second);
         let rate = rate * wanted::GIB as f64 * pace::share(own, &members, &names).get();
-        let mine = |e: &&Declared| steward::of(&e.target, &members) == Some(own);
+        let mine = |e: &&Declared| owner::of(&e.target, &members) == Some(own);
         let mine: Vec<Declared> = engines.iter().filter(mine).cloned().collect();
         self.troubles.retain(|target, _| mine.iter().any(|e| e.target == *target));
         let round = Round { worker, snapshot, mark, engines, rate };
@@ -159,7 +159,7 @@
             (peer.target.clone(), status)
         };
         let statuses: Vec<_> = peers.iter().zip(observed).map(status).collect();
-        roll::eligible(&engine.service, &statuses).contains(&&engine.target)
+        rollout::eligible(&engine.service, &statuses).contains(&&engine.target)
     }
 
     async fn give(&self, engine: &Declared, order: &Order) -> Written {
--- a/crates/daemon/src/process/tickets.rs
+++ b/crates/daemon/src/process/tickets.rs
@@ -1,7 +1,7 @@
 //! The tickets of this process and the ledger of those that were used.
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::ledger::{Claim, Ledger, MAX_ENTRIES, Result};
+use fireflyhoist_policy::idempotency::{Claim, Ledger, MAX_ENTRIES, Result};
 use fireflyhoist_policy::ticket::{LIFETIME, Ticket};
 use ntex::util::Bytes;
 use parking_lot::Mutex;
--- a/crates/daemon/src/request/completion.rs
+++ b/crates/daemon/src/request/completion.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use fireflyhoist_policy::failover::{Session, Terms};
 use fireflyhoist_policy::gate::{Ask, Refusal};
 use fireflyhoist_policy::handle::Handle;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::placement;
-use fireflyhoist_policy::session::{Session, Terms};
-use fireflyhoist_policy::sink::Position;
+use fireflyhoist_policy::sequencer::Position;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_text::{Delivery, Kind, Service};
 use fireflyhoist_wire::caller::{
--- a/crates/daemon/src/request/plain/ticketed.rs
+++ b/crates/daemon/src/request/plain/ticketed.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use fireflyhoist_policy::gate::Outcome;
-use fireflyhoist_policy::ledger::{Claim, Result as Ending};
+use fireflyhoist_policy::idempotency::{Claim, Result as Ending};
 use fireflyhoist_policy::ticket::{LIFETIME, Ticket};
 use fireflyhoist_text::{Kind, Service};
 use fireflyhoist_wire::caller::{Purpose, REPLAYED_HEADER, REQUEST_HEADER, Ticket as Issued};
--- a/crates/daemon/src/request/relay.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -2,16 +2,16 @@
 //!
 //! It runs in a task of its own: a handler's future is dropped as soon as its caller disconnects,
 //! and the engine must be told even then. What to do about each failure is decided by
-//! [`fireflyhoist_policy::session`].
+//! [`fireflyhoist_policy::failover`].
 
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
+use fireflyhoist_policy::failover::{Break, Session, Step, Terms};
 use fireflyhoist_policy::gate::{Ask, Outcome, Refusal};
 use fireflyhoist_policy::handle::{Handle, LIFETIME_S};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::session::{Break, Session, Step, Terms};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_wire::engine::Start;
--- a/crates/daemon/src/version/wanted.rs
+++ b/crates/daemon/src/version/wanted.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::order::wanted::{self, Declared, Fencing, Setup};
+use fireflyhoist_policy::order::desired::{self, Declared, Fencing, Setup};
 use fireflyhoist_policy::unit::Bytes;
 use fireflyhoist_text::{Kind, Model, Service, Target, Text};
 use fireflyhoist_wire::platform::{Hosts, State};
@@ -26,7 +26,7 @@
     });
     let leaving =
         |host: &id::Host| hosts.hosts.iter().any(|h| h.name == *host && h.state == State::Leaving);
-    wanted::engines(declared, |host| !leaving(host))
+    desired::engines(declared, |host| !leaving(host))
 }
 
 fn declared(service: &Service, target: &Target, model: &Model) -> Declared {
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use fireflyhoist_policy::ask::Outcome;
 use fireflyhoist_policy::id;
+use fireflyhoist_policy::request::Outcome;
 use fireflyhoist_policy::time::Time;
 use ntex::http::HeaderMap;
 
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -18,10 +18,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fireflyhoist_policy::ask::Class;
 use fireflyhoist_policy::comeback::Print;
 use fireflyhoist_policy::gate::Ask;
 use fireflyhoist_policy::id;
+use fireflyhoist_policy::request::Class;
 use fireflyhoist_policy::route::{Kind, Route, Service, Table};
 use fireflyhoist_policy::time::Time;
 use futures_util::StreamExt;
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::gate::{Outcome, Refusal};
-use fireflyhoist_policy::handover::{self, Choice, Situation};
 use fireflyhoist_policy::id;
+use fireflyhoist_policy::shutdown::{self, Choice, Situation};
 use ntex::http::{Response, StatusCode};
 use ntex::time::timeout;
 
@@ -56,7 +56,7 @@
     let (since, left) = worker.process.leaving()?;
     let others = worker.fleet.has_others();
     let situation = Situation { others, since, left, fresh: entries::TTL };
-    match handover::choose(&situation, carry::expected(inquiry)) {
+    match shutdown::choose(&situation, carry::expected(inquiry)) {
         Choice::Serve => None,
         Choice::ComeBack(after) => Some(after),
     }
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -15,7 +15,6 @@
 
 use rand::Rng;
 
-pub use crate::ask::{Ask, Class, Grounds, Outcome, Reason, Refusal, Report, Verdict};
 use crate::curve::Curve;
 use crate::drain::Drain;
 use crate::id;
@@ -25,6 +24,7 @@
 use crate::outlier::{Detector, Ejection, Sample};
 use crate::placement::Candidate;
 use crate::queue::{BOUND, Item, Queue};
+pub use crate::request::{Ask, Class, Grounds, Outcome, Reason, Refusal, Report, Verdict};
 use crate::retry;
 use crate::slot::Slot;
 use crate::time::Time;
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -4,12 +4,12 @@
 
 use rand::Rng;
 
-use crate::ask::{Ask, Class};
 use crate::curve::Curve;
 use crate::gate::Gate;
 use crate::id;
 use crate::late;
 use crate::placement::{self, Candidate};
+use crate::request::{Ask, Class};
 use crate::slot::Slot;
 use crate::time::Time;
 
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -5,11 +5,11 @@
 
 use rand::Rng;
 
-use crate::ask::{Reason, Report, Verdict};
 use crate::exclusion::Exclusion;
 use crate::gate::{Gate, RETRY, refuse};
 use crate::id;
 use crate::newcomer::{Arrival, Order};
+use crate::request::{Reason, Report, Verdict};
 use crate::room::Growth;
 use crate::share;
 use crate::slot::Slot;
--- a/crates/policy/src/handle.rs
+++ b/crates/policy/src/handle.rs
@@ -1,8 +1,9 @@
-//! Resume handles: what lets any entry go on with an answer whose entry has died.
+//! Resume handles: signed tokens with which any entry can resume an answer after its entry has
+//! failed.
 //!
-//! The state of a stream rides with its caller instead of being shared between entries: the
-//! handle names the engine and the generation, and a code over it shows that an entry of this
-//! fleet wrote it. See `docs/PROTOCOLS.md`, section "Resuming an answer".
+//! The state of a stream travels with its caller instead of being shared between entries. The
+//! handle names the engine and the generation, and a message authentication code shows that an
+//! entry of this fleet issued it.
 
 use std::net::SocketAddr;
 
@@ -12,37 +13,37 @@
 use crate::id;
 use crate::mac::Key;
 
-/// How long a handle may be used, in seconds: the longest generation with room to spare.
+/// How long a handle is valid, in seconds: the longest generation plus a margin.
 pub const LIFETIME_S: u64 = 3_600;
 
 const PURPOSE: &str = "resume";
 const SEPARATOR: char = '~';
 const FIELDS: usize = 7;
 
-/// What a handle says.
+/// The contents of a handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handle {
-    /// The generation.
+    /// The generation to resume.
     pub generation: id::Generation,
     /// The engine that runs it.
     pub target: id::Target,
-    /// Where that engine listens.
+    /// The address of that engine.
     pub address: SocketAddr,
-    /// The service that was asked.
+    /// The service that the request was sent to.
     pub service: id::Service,
-    /// Whose request it is.
+    /// The workspace that the request belongs to.
     pub workspace: id::Workspace,
-    /// Until when it may be used, in seconds since the Unix epoch.
+    /// When the handle expires, in seconds since the Unix epoch.
     pub expires_s: u64,
 }
 
 /// Why a handle is refused.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum HandleError {
-    /// It was not written by an entry of this fleet, or was changed.
+    /// It was not issued by an entry of this fleet, or was modified.
     #[display("the resume handle is not one of this fleet; pass it on exactly as received")]
     Forged,
-    /// Its time is over.
+    /// It has expired.
     #[display("the resume handle has expired; send the request anew without it")]
     Expired,
     /// It belongs to another service or workspace.
@@ -51,7 +52,7 @@
 }
 
 impl Handle {
-    /// The handle as text for a header.
+    /// Encodes and signs the handle as text for a header.
     pub fn write(&self, key: &Key) -> SmolStr {
         let fields = self.fields();
         let code = key.sign(PURPOSE, &fields.each_ref().map(SmolStr::as_str));
@@ -64,7 +65,13 @@
         SmolStr::new(out)
     }
 
-    /// Reads a handle for a request of `workspace` to `service` at `now_s` of the Unix epoch.
+    /// Decodes and verifies a handle for a request of `workspace` to `service`. `now_s` is the
+    /// current time in seconds since the Unix epoch.
+    ///
+    /// # Errors
+    ///
+    /// [`HandleError`] where the handle was not issued by this fleet, has expired or is of another
+    /// service or workspace.
     pub fn read(
         key: &Key,
         now_s: u64,
@@ -76,8 +83,8 @@
         let Some((code, fields)) = fields.split_last().filter(|_| fields.len() == FIELDS) else {
             return Err(HandleError::Forged);
         };
-        // Guards against a caller that reads another's stream by naming its generation: the code
-        // covers every field, and only entries know the key.
+        // Prevents a caller from reading another caller's stream by naming its generation: the code
+        // covers every field, and only entries have the key.
         if !key.verify(PURPOSE, fields, code) {
             return Err(HandleError::Forged);
         }
--- a/crates/policy/src/id.rs
+++ b/crates/policy/src/id.rs
@@ -1,7 +1,6 @@
-//! Names and numbers that identify things across the system.
+//! Names and ids of the system's objects.
 //!
-//! Each is a type of its own so that a host can never be passed where a target is meant. The words
-//! are those of the users' brief; `docs/GLOSSARY.md` maps them to the field's terms.
+//! Each kind has its own type, so that a host cannot be passed where a target is expected.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,19 +9,19 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// The longest name in bytes; it keeps every gossip frame and log line bounded.
+/// The longest name in bytes; it bounds the size of gossip frames and log lines.
 pub const MAX_NAME: usize = 64;
 
-/// Why a text is no name.
+/// Why a text is not a valid name.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum NameError {
     /// The name is empty.
     #[display("name is empty; give it 1 to 64 characters of a-z, 0-9, '-', '_' or '.'")]
     Empty,
-    /// The name is longer than [`MAX_NAME`].
+    /// The name is longer than [`MAX_NAME_BYTES`].
     #[display("name has {length} bytes; shorten it to at most 64")]
     Long {
-        /// Length found, in bytes.
+        /// The length found, in bytes.
         length: usize,
     },
     /// The name holds a character outside the permitted set.
@@ -57,7 +56,7 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 self.0.as_str()
             }
@@ -88,7 +87,7 @@
 }
 
 names! {
-    /// A machine of the users' fleet, as the platform's host list names it.
+    /// A machine of the fleet, as the platform's host list names it.
     Host,
     /// A failure domain (`hala-a`, `sal-b`): hosts that may be lost together.
     Domain,
@@ -117,7 +116,7 @@
                 Self(number)
             }
 
-            /// The number, for hashing and for frames.
+            /// Returns the number, for hashing and for frames.
             pub const fn get(self) -> u128 {
                 self.0
             }
@@ -153,7 +152,7 @@
     )*};
 }
 
-/// Why a text is no 128-bit id.
+/// A text that is not a 128-bit id.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("id is not 32 hexadecimal digits; pass it on exactly as it was received")]
 pub struct NumberError;
@@ -167,10 +166,10 @@
 }
 
 numbers! {
-    /// One request as one entry host sees it; it stands on every log line of the request.
+    /// One request as one entry sees it; every log line of the request has it.
     Request,
     /// One generation: the stream id that the entry chose for one attempt at one engine.
     Generation,
-    /// One run of a daemon's process, from its start to its end.
+    /// One run of an entry's process, from its start to its end.
     Instance,
 }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,43 +1,43 @@
-//! The ledger of one process: which of its tickets have been used, and what came of it.
+//! The idempotency store of one process: which of its tickets were used, and the outcomes.
 //!
-//! Load pattern: callers repeat a call whose answer they did not see, while the first is still
-//! running or long after, through any entry. Without the ledger each repeat is another crew sent
-//! and paid. It remembers a ticket until the ticket expires, so its size is bounded by what was
-//! used within [`crate::ticket::LIFETIME`], and it refuses to run anything new once it is full:
-//! to forget a used ticket early would let its call run twice.
+//! Callers repeat a call whose answer they did not receive, while the first is still running or
+//! long after, and through any entry. Without the store each repeat would run, and charge for, the
+//! call again. The store keeps a ticket until the ticket expires, so its size is bounded by the
+//! tickets used within [`crate::ticket::LIFETIME`]. Once full, it refuses new calls: evicting a
+//! used ticket early would let its call run twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ticket::Ticket;
 use crate::time::Time;
 
-/// Used tickets remembered at once; a hundred calls a second over a ticket's life.
+/// Used tickets kept at once; enough for a hundred calls a second over a ticket's lifetime.
 pub const MAX_ENTRIES: usize = 65_536;
 
-/// Bytes of replies remembered at once, of the control state's 32 MB.
+/// Bytes of replies kept at once, out of the 32 MB allowed for control state.
 pub const MAX_BYTES: usize = 8 << 20;
 
-/// The largest reply that is remembered; of larger ones only the status is.
+/// The largest reply that is kept, in bytes; of larger ones only the status is.
 pub const MAX_REPLY: usize = 16 << 10;
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Result<R> {
     /// The target replied.
     Replied {
         /// The HTTP status.
         status: u16,
-        /// The reply, where it was small enough to remember.
+        /// The reply, where it was small enough to keep.
         reply: Option<R>,
     },
-    /// The call was written and no reply came, so nobody can tell.
+    /// The call was written and no reply came, so it is unknown whether it ran.
     Unknown,
 }
 
-/// What a process may do with a ticket of its own.
+/// The result of claiming a ticket that this process issued.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim<R> {
-    /// Run the call now; nobody else will.
+    /// The caller must run the call now; no other claim is told to.
     Run,
     /// The call is running.
     Running,
@@ -45,22 +45,22 @@
     Ran(Result<R>),
     /// The ticket was used for another call.
     Crossed,
-    /// The ticket is too old, and whether it was used may be forgotten.
+    /// The ticket has expired, and whether it was used may no longer be known.
     Expired,
-    /// The ledger cannot remember another ticket, so the call is not run.
+    /// The store is full, so the call must not run.
     Full,
 }
 
 #[derive(Clone, Debug)]
 struct Entry<R> {
-    /// A digest of the call, so that a ticket is not taken for two.
+    /// A digest of the call, so that a ticket is not accepted for two calls.
     call: u64,
     expires: Time,
     bytes: usize,
     result: Option<Result<R>>,
 }
 
-/// Used tickets of one process.
+/// The used tickets of one process.
 #[derive(Clone, Debug)]
 pub struct Ledger<R> {
     issued: u64,
@@ -71,7 +71,7 @@
 }
 
 impl<R: Clone> Ledger<R> {
-    /// Opens a ledger that remembers at most `max_entries` tickets, such as [`MAX_ENTRIES`].
+    /// Creates a store that keeps at most `max_entries` tickets, such as [`MAX_ENTRIES`].
     pub fn open(max_entries: usize) -> Self {
         Self {
             issued: 0,
@@ -82,16 +82,16 @@
         }
     }
 
-    /// The number of the next ticket; issuing costs no memory.
+    /// Returns the sequence number of the next ticket; issuing one costs no memory.
     pub fn issue(&mut self) -> u64 {
         self.issued += 1;
         self.issued
     }
 
-    /// Decides on the use of a ticket of this process for the call with digest `call`.
+    /// Claims a ticket of this process for the call with digest `call`.
     pub fn claim(&mut self, now: Time, ticket: &Ticket, call: u64) -> Claim<R> {
-        // Guards against a second run after the entry is forgotten: expiry is judged by this
-        // process's own clock, which does not go back, and always before the entry is dropped.
+        // Prevents a second run after the entry is evicted: expiry is checked against this
+        // process's own clock, which does not go back, and always before the entry is evicted.
         if ticket.expires <= now {
             self.sweep(now);
             return Claim::Expired;
@@ -118,7 +118,7 @@
         self.entries.contains_key(&sequence)
     }
 
-    /// Takes back a claim whose call was not written to any target; it may be claimed again.
+    /// Releases a claim whose call was not written to any target; the ticket may be claimed again.
     pub fn release(&mut self, sequence: u64) {
         if let Some(entry) = self.entries.remove(&sequence) {
             self.expiries.remove(&(entry.expires, sequence));
@@ -126,10 +126,10 @@
         }
     }
 
-    /// Notes what came of a claimed call; `bytes` is the size of the reply.
+    /// Records the outcome of a claimed call; `bytes` is the size of the reply.
     pub fn settle(&mut self, sequence: u64, result: Result<R>, bytes: usize) {
         let fits = bytes <= MAX_REPLY && self.bytes + bytes <= MAX_BYTES;
-        // An entry that expired while its call ran is gone; its ticket answers as expired.
+        // An entry that expired while its call ran is gone; its ticket is answered as expired.
         let Some(entry) = self.entries.get_mut(&sequence) else { return };
         entry.result = Some(match result {
             Result::Replied { status, reply: Some(_) } if !fits => {
@@ -143,12 +143,12 @@
         });
     }
 
-    /// Tickets remembered.
+    /// Returns the number of tickets kept.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no ticket is remembered.
+    /// Whether no ticket is kept.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/policy/src/length.rs
+++ b/crates/policy/src/length.rs
@@ -1,36 +1,38 @@
-//! How long an answer will be, given what it has produced so far.
+//! Predicts the length of an answer from the tokens it has produced so far.
 //!
-//! Load pattern: answers from a few to tens of thousands of tokens, unknown ahead. Without a
-//! prediction an entry must either reserve the caller's limit, which in `brno-night` leaves two
-//! thirds of the engines' best unused, or send blindly and have memory run out in the middle.
+//! Answers have from a few to tens of thousands of tokens, and the length is not known in advance.
+//! Without a prediction an entry must either reserve the caller's limit, which can leave two thirds
+//! of the engines' throughput unused, or send without regard to memory and have it run out during
+//! generation.
 //!
-//! A [`Law`] holds, for each bucket of lengths, how many answers reached it and how many ended in
-//! it. Their ratio is a hazard, and running answers count from the first bucket on, so that long
-//! ones, which end last, don't go missing from the picture (the product-limit estimate). A
-//! workspace's hazards lean on those of its service while it has few answers of its own, and these
-//! on a heavy-tailed law while the process is young.
+//! A [`Distribution`] holds, for each bucket of lengths, how many answers reached it and how many
+//! ended in it. Their ratio is a hazard rate. Running answers count from the first bucket on, so
+//! that long answers, which end last, are not underrepresented (the Kaplan-Meier product-limit
+//! estimator). A workspace's hazards use those of its service as a prior while it has few answers
+//! of its own, and the service's use a heavy-tailed default.
 
 use std::collections::BTreeMap;
 
 use crate::id;
 
-/// Buckets for each doubling of length; four keep neighbours within a fifth of each other.
+/// Buckets per doubling of length; with four, neighbouring bounds differ by a fifth.
 const PER_OCTAVE: usize = 4;
 
-/// Buckets up to 65,536 tokens, beyond the longest answers in use.
+/// The number of buckets; they reach 65,536 tokens, beyond the longest answers in use.
 const BUCKETS: usize = 16 * PER_OCTAVE;
 
-/// Answers that the next wider law is worth beside a workspace's own.
+/// The number of answers that the prior counts as beside the observed ones.
 const PRIOR: f32 = 12.0;
 
-/// The law is halved when it has seen so many ends, so that it follows a change of habits.
+/// The number of ended answers above which all counts are halved, so that the distribution follows
+/// changes in traffic.
 const MEMORY: f32 = 2_000.0;
 
-/// Hazard of a bucket before anything is known: lengths fall as a power law with exponent 1,
-/// heavier than any seen, so that ignorance reserves rather than floods.
+/// The default hazard of a bucket: a power law of lengths with exponent 1. Its tail is heavier than
+/// that of real traffic, so that an entry without data reserves too much rather than overloads.
 const UNKNOWN: f32 = 0.16;
 
-/// Before anything is known, answers shorter than this many tokens hardly end.
+/// The length in tokens below which the default assumes that hardly any answer ends.
 const UNKNOWN_FROM: u64 = 32;
 
 fn bucket(tokens: u64) -> usize {
@@ -42,12 +44,12 @@
     (bucket as f32 / PER_OCTAVE as f32).exp2()
 }
 
-/// The lengths of one workspace or one service.
+/// The length distribution of one workspace or one service.
 #[derive(Clone, Debug)]
 pub struct Law {
     reached: [f32; BUCKETS],
     ended: [f32; BUCKETS],
-    /// Chance to be at least as long as the start of each bucket, from the hazards.
+    /// The probability that an answer reaches the start of each bucket, from the hazards.
     survival: [f32; BUCKETS + 1],
 }
 
@@ -65,7 +67,7 @@
         })
     }
 
-    /// Works the survival out anew.
+    /// Recomputes the survival probabilities.
     fn settle(&mut self, prior: &[f32; BUCKETS]) {
         let hazards = self.hazards(prior);
         for (at, hazard) in hazards.into_iter().enumerate() {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The chance that an answer has at least `tokens`.
+    /// Returns the probability that an answer has at least `tokens` tokens.
     pub fn survival(&self, tokens: u64) -> f32 {
         let at = bucket(tokens);
         let (low, high) = (start(at), start(at + 1));
@@ -93,7 +95,8 @@
         self.survival[at] + (self.survival[at + 1] - self.survival[at]) * part
     }
 
-    /// Expected length in all of an answer that has produced `produced` and may not pass `limit`.
+    /// Returns the expected total length in tokens of an answer that has produced `produced` tokens
+    /// and is limited to `limit`.
     pub fn expected(&self, produced: u64, limit: u64) -> f32 {
         let from = bucket(produced.max(1));
         let known = self.survival(produced).max(f32::MIN_POSITIVE);
@@ -111,11 +114,11 @@
     }
 }
 
-/// How far one running answer has been counted.
+/// How many buckets of one running answer have been counted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Mark(u8);
 
-/// The laws of one service and its workspaces.
+/// The length distributions of one service and its workspaces.
 #[derive(Clone, Debug)]
 pub struct Book {
     unknown: [f32; BUCKETS],
@@ -130,14 +133,14 @@
 }
 
 impl Book {
-    /// Opens a book that has seen no answer.
+    /// Creates a predictor without observations.
     pub fn open() -> Self {
         let from = bucket(UNKNOWN_FROM);
         let unknown = std::array::from_fn(|at| if at < from { 0.002 } else { UNKNOWN });
         Self { unknown, service: Law::open(&unknown), workspaces: BTreeMap::new() }
     }
 
-    /// The law to predict by for a workspace.
+    /// Returns the distribution that applies to a workspace.
     pub fn law(&self, workspace: &id::Workspace) -> &Law {
         self.workspaces.get(workspace).unwrap_or(&self.service)
     }
@@ -148,7 +151,7 @@
         Mark(1)
     }
 
-    /// Counts how far an answer has come.
+    /// Counts the buckets that an answer has reached since `progress`.
     pub fn advance(&mut self, workspace: &id::Workspace, mark: &mut Mark, produced: u64) {
         let to = bucket(produced) + 1;
         let from = usize::from(mark.0);
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Counts a whole answer of `produced` tokens.
+    /// Counts an answer that ended after `produced` tokens.
     pub fn end(&mut self, workspace: &id::Workspace, mut mark: Mark, produced: u64) {
         self.advance(workspace, &mut mark, produced);
         let at = bucket(produced);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,10 +1,8 @@
-//! Every decision of fireflyhoist, free of network, clock and randomness of its own.
+//! Decision logic of fireflyhoist, without network access, clock reads or randomness of its own.
 //!
-//! Callers of this crate pass `now` and a random source into each decision, so that every test and
-//! every load pattern replays exactly. The absence of any I/O library in `Cargo.toml` is what
-//! keeps that true; see `docs/DESIGN.md`, section "One daemon, one tool".
+//! Callers pass `now` and a random source into each decision, so that tests and simulated load
+//! replay deterministically. `Cargo.toml` lists no I/O library, which enforces this.
 
-pub mod ask;
 pub mod bootstrap;
 pub mod burn;
 pub mod cold;
@@ -13,17 +11,17 @@
 pub mod curve;
 pub mod drain;
 pub mod exclusion;
+pub mod failover;
 pub mod gate;
 pub mod handle;
-pub mod handover;
 pub mod heartbeat;
 pub mod hedge;
 pub mod id;
+pub mod idempotency;
 pub mod intake;
 pub mod keeper;
 mod late;
 pub mod lease;
-pub mod ledger;
 pub mod length;
 pub mod limit;
 pub mod mac;
@@ -39,13 +37,14 @@
 pub mod presence;
 pub mod queue;
 pub mod rendezvous;
+pub mod request;
 pub mod retry;
 pub mod room;
 pub mod roster;
 pub mod route;
-pub mod session;
+pub mod sequencer;
 pub mod share;
-pub mod sink;
+pub mod shutdown;
 mod slot;
 pub mod suppress;
 pub mod ticket;
--- a/crates/policy/src/mac.rs
+++ b/crates/policy/src/mac.rs
@@ -1,4 +1,4 @@
-//! Message authentication for what entries hand to callers and must recognise again.
+//! Message authentication codes for data that entries hand to callers and later verify.
 
 use derive_more::Debug;
 use hmac::{Hmac, Mac};
@@ -8,21 +8,21 @@
 /// Bytes of a code; half of SHA-256's output is the usual truncation (RFC 2104, section 5).
 const LENGTH: usize = 16;
 
-/// The key that all daemons of one fleet share.
+/// The key shared by all entries of one fleet.
 #[derive(Clone, Debug)]
 #[debug("Key(..)")]
 pub struct Key(SmolStr);
 
 impl Key {
-    /// Takes the secret from the settings.
+    /// Creates the key from the secret in the settings.
     pub fn open(secret: &str) -> Self {
         Self(SmolStr::new(secret))
     }
 
-    /// The code over `parts` for one `purpose`, in hexadecimal.
+    /// Returns the code over `parts` for one `purpose`, in hexadecimal.
     ///
-    /// The purpose and each part's length are covered, so that a code for one kind of text never
-    /// fits another and parts cannot be shifted into one another.
+    /// The purpose and the length of each part are covered, so that a code for one purpose is not
+    /// valid for another, and bytes cannot be moved from one part to the next.
     pub fn sign(&self, purpose: &str, parts: &[&str]) -> String {
         let bytes = self.mac(purpose, parts).finalize().into_bytes();
         bytes[..LENGTH].iter().map(|byte| format!("{byte:02x}")).collect()
@@ -35,7 +35,7 @@
     }
 
     fn mac(&self, purpose: &str, parts: &[&str]) -> Hmac<Sha256> {
-        // HMAC takes keys of any length, so this cannot fail.
+        // HMAC accepts keys of any length, so this cannot fail.
         let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(self.0.as_bytes())
             .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
         for part in std::iter::once(&purpose).chain(parts) {
--- a/crates/policy/src/order/wanted.rs
+++ b/crates/policy/src/order/desired.rs
@@ -1,4 +1,4 @@
-//! What each engine should hold, as a pure function of the version and the published engines.
+//! The desired state of each engine, a pure function of the version and the published engines.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 use crate::id;
 use crate::unit::Bytes;
 
-/// What an engine does for its model.
+/// Which phases of inference an engine runs.
 #[derive(
     Clone,
     Copy,
@@ -24,62 +24,64 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prompts and answers.
+    /// Prefill and decode.
     #[default]
     #[display("both")]
     Both,
-    /// Prompts only.
+    /// Prefill only.
     #[display("prefill")]
     Prefill,
-    /// Answers only.
+    /// Decode only.
     #[display("decode")]
     Decode,
 }
 
-/// What an engine holds or should hold.
+/// The setup that an engine holds or should hold.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Setup {
     /// The model.
     pub model: id::Model,
-    /// The version of its weights.
+    /// The version of the model's weights.
     pub version: SmolStr,
-    /// Adapters beside it, sorted.
+    /// The adapters loaded with the model, sorted.
     pub adapters: Vec<SmolStr>,
-    /// What it does.
+    /// The engine's role.
     pub role: Role,
 }
 
-/// Whether engines check who gives them an order; the operators say so.
+/// Whether engines check the fencing numbers of orders, as declared by the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// An order with an old number is refused.
+    /// The engine rejects an order whose number is not above the highest it has seen.
     Checked,
-    /// The number is ignored.
+    /// The engine ignores fencing numbers.
     Ignored,
 }
 
-/// One engine as the text declares it.
+/// One engine as the operators' text declares it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Declared {
-    /// Its name.
+    /// The engine's name.
     pub target: id::Target,
     /// The host it runs on.
     pub host: id::Host,
-    /// The service it stands behind.
+    /// The service it belongs to.
     pub service: id::Service,
-    /// What it should hold.
+    /// The setup it should hold.
     pub setup: Setup,
     /// Whether it checks fencing numbers.
     pub fencing: Fencing,
-    /// What loading its model draws from the weight store.
+    /// Bytes that loading its model reads from the weight store.
     pub weights: Bytes,
 }
 
-/// The engines to be ordered: those declared, less those whose host is not `published` as live.
+/// Returns the engines to be ordered: those declared, except those whose host is not `published` as
+/// live.
 ///
-/// A host that leaves is given nothing to load, since it would be taken back in the middle. Sorted
-/// by name, with adapters sorted, so that every entry of one version sees the same.
+/// An engine on a leaving host is not ordered, since the host would be taken away in the middle of
+/// the load. The result is sorted by target name, and adapters are sorted and deduplicated, so that
+/// every entry of one version gets the same result.
 pub fn engines(
     declared: impl IntoIterator<Item = Declared>,
     published: impl Fn(&id::Host) -> bool,
--- a/crates/policy/src/order/fence.rs
+++ b/crates/policy/src/order/fence.rs
@@ -1,33 +1,35 @@
-//! Fencing numbers: the engine takes an order only with a number above all it has seen.
+//! Fencing numbers: an engine accepts an order only if its number is above every number it has
+//! seen.
 //!
-//! A number is made of the version's [`Mark`] and a count. A steward whose version is older than
-//! the mark of the highest number at an engine finds itself behind and orders nothing, so that
-//! stewards of two versions cannot outbid one another for as long as a partition lasts.
+//! A number consists of the version's [`Epoch`] and a counter. An owner whose version is older than
+//! the epoch of the highest number at an engine gets no number and orders nothing. Owners of two
+//! versions therefore cannot keep overriding one another during a partition.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
 /// Bits that count the orders of one version to one engine.
 ///
-/// An engine that fails to load is ordered again every few seconds: 65,536 last for days.
+/// An engine that fails to load is ordered again every few seconds, so 65,536 orders last for days.
 const COUNT_BITS: u32 = 16;
 
-/// Bits of the digest, which decide between two texts of one revision.
+/// Bits of the digest; they decide between two texts of one revision.
 const DIGEST_BITS: u32 = 8;
 
-/// The largest revision that fits, above seconds since 1970 by a factor of 600.
+/// The largest revision that fits. It exceeds seconds since 1970 by a factor of 600, so revisions
+/// may be Unix timestamps.
 pub const MAX_REVISION: u64 = (1 << (64 - COUNT_BITS - DIGEST_BITS)) - 1;
 
-/// Why there is no number to order with.
+/// Why no fencing number can be issued.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum FenceError {
-    /// The engine has taken an order of a newer version.
+    /// The engine has accepted an order of a newer version.
     #[display("the engine was ordered by a newer version; this entry waits until it has that one")]
     Behind,
     /// All numbers of this version are used up.
     #[display("65536 orders of this version went to the engine; publish the next revision")]
     Exhausted,
-    /// The revision does not fit into a number.
+    /// The revision does not fit into a fencing number.
     #[display("revision {revision} is above 1099511627775; publish a smaller one")]
     Revision {
         /// The revision of the text.
@@ -35,10 +37,10 @@
     },
 }
 
-/// A version as it stands in fencing numbers; marks order as versions do.
+/// The part of a fencing number that identifies a version; epochs order as versions do.
 ///
-/// Two texts of one revision whose digests begin with the same byte share a mark. Their stewards
-/// can outbid one another until the versions have met.
+/// Two texts of one revision whose digests begin with the same byte share an epoch. Their owners
+/// can override one another until every entry has converged on one of the two versions.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -46,7 +48,11 @@
 pub struct Mark(u64);
 
 impl Mark {
-    /// The mark of a version.
+    /// Returns the epoch of a version.
+    ///
+    /// # Errors
+    ///
+    /// [`FenceError::RevisionTooLarge`] where `revision` is above [`MAX_REVISION`].
     pub fn of(revision: u64, digest: &[u8]) -> Result<Self, FenceError> {
         if revision > MAX_REVISION {
             return Err(FenceError::Revision { revision });
@@ -56,7 +62,7 @@
     }
 }
 
-/// A fencing number.
+/// A fencing number: an epoch in the high bits and a counter in the low bits.
 #[derive(
     Clone,
     Copy,
@@ -80,13 +86,18 @@
         Self(number)
     }
 
-    /// The version whose order carried it.
+    /// Returns the epoch of the version that this number was issued for.
     pub fn mark(self) -> Mark {
         Mark(self.0 >> COUNT_BITS)
     }
 
-    /// The number for the next order of version `mark` to an engine that reports `self` as its
-    /// highest.
+    /// Returns the number for the next order of epoch `epoch` to an engine that reports `self` as
+    /// its highest.
+    ///
+    /// # Errors
+    ///
+    /// [`FenceError::Outdated`] where the engine has accepted a newer version, and
+    /// [`FenceError::Exhausted`] where the counter of this epoch is used up.
     pub fn next(self, mark: Mark) -> Result<Self, FenceError> {
         if self.mark() > mark {
             return Err(FenceError::Behind);
--- a/crates/policy/src/order/pace.rs
+++ b/crates/policy/src/order/pace.rs
@@ -1,52 +1,51 @@
-//! How fast one steward's loads may draw on the weight store.
+//! Limits how fast the loads that one owner starts draw on the weight store.
 //!
-//! **Load pattern.** A version changes a model and dozens of engines want a hundred gibibytes each.
+//! When a version changes a model, dozens of engines may each have to load a hundred gibibytes. If
+//! all loaded at once, each would get a small part of the store's rate, and none would serve until
+//! nearly all had finished.
 //!
-//! **Without it.** All draw at once, each at a small part of the store's rate, and none serves
-//! until nearly all have finished.
-//!
-//! **Figures.** The published rate is divided by how many of the published engines each steward
-//! has, so the parts sum to one without a word between stewards. One load may begin at once and
-//! each that follows waits until the one before it is paid for; a process that has just started
-//! owes nothing, so a restart can begin at most one load early.
+//! The published rate is divided in proportion to the engines that each owner has, so that the
+//! shares sum to one without coordination between owners. The first load may start at once; each
+//! later one waits for as long as the loads before it take at the owner's share of the rate. The
+//! pacer starts without any wait, so a restarted process can begin at most one load early.
 
 use crate::id;
-use crate::order::steward;
+use crate::order::owner;
 use crate::time::Time;
 use crate::unit::{Bytes, Share};
 
-/// The share of the weight store's rate that `own` may use.
+/// Returns the share of the weight store's rate that the host `own` may use.
 ///
-/// It counts engines, not stewards: an entry with three engines to load needs three times the
-/// rate of one with a single engine.
+/// It is proportional to engines, not to owners: an entry with three engines to load needs three
+/// times the rate of one with a single engine.
 pub fn share(own: &id::Host, members: &[id::Host], engines: &[id::Target]) -> Share {
     if engines.is_empty() {
         return Share::new(0.0);
     }
-    let mine = engines.iter().filter(|engine| steward::of(engine, members) == Some(own)).count();
+    let mine = engines.iter().filter(|engine| owner::of(engine, members) == Some(own)).count();
     Share::new(mine as f64 / engines.len() as f64)
 }
 
-/// Spaces out the loads of one steward.
+/// Spaces out the loads of one owner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pacer {
     free_at: Time,
 }
 
 impl Pacer {
-    /// Opens a pacer that owes nothing.
+    /// Creates a pacer whose first load may start at once.
     pub fn open() -> Self {
         Self::default()
     }
 
-    /// Whether a load may begin.
+    /// Whether a load may start now.
     pub fn is_free(&self, now: Time) -> bool {
         now >= self.free_at
     }
 
-    /// Takes the time that a load of `weights` costs at `rate` bytes a second.
+    /// Delays the next load by the time that a load of `weights` takes at `rate` bytes per second.
     ///
-    /// Without a published rate nothing is known that must be kept to, and the load is free.
+    /// A `rate` of zero means that no rate is published; loads are not delayed then.
     pub fn take(&mut self, now: Time, weights: Bytes, rate: f64) {
         if rate > 0.0 {
             let seconds = weights.get() as f64 / rate;
--- a/crates/policy/src/order/plan.rs
+++ b/crates/policy/src/order/plan.rs
@@ -1,27 +1,28 @@
-//! What to do about one engine, from what was just read from it.
+//! Decides what to do about one engine from the state just read from it.
 
 use serde::{Deserialize, Serialize};
 
+use crate::order::desired::{Fencing, Setup};
 use crate::order::fence::{Fence, FenceError, Mark};
-use crate::order::roll::Status;
-use crate::order::wanted::{Fencing, Setup};
+use crate::order::rollout::Status;
 
-/// What an engine says of its orders.
+/// The state that an engine reports about its orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observed {
-    /// The highest fencing number it has taken; engines that ignore numbers may report none.
+    /// The highest fencing number it has accepted; engines that ignore fencing numbers may report
+    /// none.
     #[serde(default)]
     pub fence: Fence,
-    /// What it serves.
+    /// The setup that it serves, if any.
     #[serde(default)]
     pub holds: Option<Setup>,
-    /// What it loads.
+    /// The setup that it is loading, if any.
     #[serde(default)]
     pub loading: Option<Setup>,
 }
 
 impl Observed {
-    /// How the engine stands towards what is wanted of it.
+    /// Compares the engine's state with the desired setup.
     pub fn status(&self, wanted: &Setup) -> Status {
         match (&self.loading, &self.holds) {
             (Some(loading), _) if loading == wanted => Status::Loading,
@@ -33,37 +34,39 @@
     }
 }
 
-/// One order, complete in itself: taking it twice ends where taking it once does.
+/// One order. It states the complete setup, so applying it twice has the same effect as applying it
+/// once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Its fencing number.
+    /// The fencing number.
     pub fence: Fence,
-    /// What the engine should hold from now on.
+    /// The setup that the engine should hold from now on.
     pub setup: Setup,
 }
 
 /// What to do about an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It holds, or loads, what is wanted.
+    /// The engine holds or is loading the desired setup; do nothing.
     Nothing,
-    /// Give this order, which makes the engine load.
+    /// Send this order, which makes the engine load.
     Load(Order),
-    /// Give this order, which changes nothing but the engine's highest number.
+    /// Send this order, which only raises the engine's highest fencing number.
     ///
-    /// Without it an engine that two versions in a row leave as it is would still take the order
-    /// of a version between them, from a steward that was away.
+    /// Without it, an engine that keeps its setup across two versions would still accept an order
+    /// of an intermediate version from an owner that was paused or partitioned.
     Claim(Order),
 }
 
 /// Decides on one engine.
 ///
-/// Reading before each order is what repairs one that was lost, came late or was undone: the next
-/// round sees the engine as it is and orders again.
+/// The engine is read before each order. This repairs an order that was lost, arrived late or was
+/// undone: the next round sees the actual state and orders again.
 ///
 /// # Errors
 ///
-/// Where the engine follows a newer version, or no number is left; the message says what to do.
+/// [`FenceError`] where the engine follows a newer version or no fencing number is left; the
+/// message says what to do.
 pub fn step(
     wanted: &Setup,
     fencing: Fencing,
--- a/crates/policy/src/position.rs
+++ b/crates/policy/src/position.rs
@@ -1,8 +1,8 @@
-//! Where in the registry's history something was read.
+//! Positions in the registry's history.
 //!
-//! A registry may come back from an older copy. Its revisions go back then and are given out again, so
-//! a revision alone no longer says which of two readings is the newer one. It counts how often it came
-//! back, its era, and says so; what is read of a later era is newer whatever its revision.
+//! A registry may be restored from an older copy. Its revisions then go back and are reused, so a
+//! revision alone does not show which of two readings is newer. The registry counts its restores
+//! and announces the count as its era; a reading of a later era is newer whatever its revision.
 
 use std::num::ParseIntError;
 use std::str::FromStr;
@@ -10,7 +10,7 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// A revision of one era; 0 where the registry says nothing of eras.
+/// A revision within an era; the era is 0 where the registry announces none.
 #[derive(
     Clone,
     Copy,
@@ -32,7 +32,7 @@
     revision: u64,
 }
 
-/// A position as entries write it: as a plain revision in the first era, which older releases read.
+/// The encoded form: a plain revision in era 0, which older releases can decode.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(untagged)]
 enum Wire {
@@ -59,28 +59,28 @@
 }
 
 impl Position {
-    /// A revision of an era.
+    /// Creates the position of a revision in an era.
     pub const fn new(era: u64, revision: u64) -> Self {
         Self { era, revision }
     }
 
-    /// How often the registry had come back from a copy.
+    /// Returns how often the registry had been restored from a copy.
     pub const fn era(self) -> u64 {
         self.era
     }
 
-    /// The revision within the era.
+    /// Returns the revision within the era.
     pub const fn revision(self) -> u64 {
         self.revision
     }
 
-    /// Whether it is of a later era than another.
+    /// Whether this position's era is later than the other's.
     pub const fn is_after(self, other: Self) -> bool {
         self.era > other.era
     }
 }
 
-/// A text that is no position.
+/// A text that is not a valid position.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{text:?} is no position; write ERA.REVISION or a revision")]
 pub struct PositionError {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -13,9 +13,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::ask::{Ask, Class};
 use crate::drain::Drain;
 use crate::id;
+use crate::request::{Ask, Class};
 use crate::time::Time;
 
 /// The most requests that wait at one gate; a request takes about 300 bytes.
--- a/crates/policy/src/ask.rs
+++ b/crates/policy/src/request.rs
@@ -1,4 +1,4 @@
-//! What a gate is asked and what it answers.
+//! Input and output types of the admission gate.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::time::Time;
 use crate::unit::Tokens;
 
-/// What kind of wait a caller can bear.
+/// The latency class of a request. The order of the variants is the order of priority.
 #[derive(
     Clone,
     Copy,
@@ -26,58 +26,58 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// A small call that a page waits for; it never stands behind a generation.
+    /// A small call that a page waits for; it never queues behind a generation.
     #[display("lookup")]
     Lookup,
-    /// A generation that a person watches arrive.
+    /// A generation whose tokens a person watches as they arrive.
     #[default]
     #[display("live")]
     Live,
     /// A generation whose whole answer is read the next day.
     #[display("overnight")]
     Overnight,
-    /// A generation that can no longer begin on time; it takes what others leave.
+    /// A generation that can no longer meet its objective; it uses only capacity that others leave.
     #[display("spare")]
     Spare,
 }
 
-/// One request that asks to be served.
+/// One request for admission.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// The request, unique in this process.
+    /// The request's id, unique in this process.
     pub request: id::Request,
-    /// Whose request it is.
+    /// The workspace that the request belongs to.
     pub workspace: id::Workspace,
-    /// What wait it bears.
+    /// The latency class.
     pub class: Class,
     /// Tokens of the prompt, as estimated by the entry.
     pub prompt: Tokens,
-    /// The most tokens the answer may hold.
+    /// The most tokens that the answer may hold.
     pub limit: Tokens,
-    /// A hash of the prompt's beginning, by which engines' prefix caches are met again.
+    /// A hash of the start of the prompt, used to reach an engine that has the prefix cached.
     pub prefix: u64,
-    /// When its answer should have begun.
+    /// When the answer should have started.
     pub objective: Time,
-    /// When an answer that has not begun is of no more use.
+    /// When an answer that has not started is of no more use.
     pub deadline: Time,
     /// A target that just failed this request and should not be tried next.
     pub avoid: Option<id::Target>,
-    /// Whether an earlier attempt arrived at a target, so that this one draws on the retry budget.
+    /// Whether an earlier attempt reached a target, so that this one draws on the retry budget.
     pub repeat: bool,
 }
 
-/// What a target last said of itself, and how old that is.
+/// The load that a target last reported.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Room for tokens in the engine's memory.
+    /// Tokens that the engine's KV cache can hold.
     pub capacity: Tokens,
-    /// Tokens that its memory holds now.
+    /// Tokens that the KV cache holds now.
     pub used: Tokens,
     /// Streams being generated.
     pub running: u32,
-    /// Streams waiting inside the engine.
+    /// Streams queued inside the engine.
     pub waiting: u32,
-    /// Preemptions since the engine began.
+    /// Preemptions since the engine started.
     pub preemptions: u64,
 }
 
@@ -88,19 +88,20 @@
     /// No target of the service is known to be up.
     #[display("no-target")]
     NoTarget,
-    /// Every target stands in a failure domain that is cordoned.
+    /// Every target is in a cordoned failure domain.
     #[display("targets-cordoned")]
     Cordoned,
-    /// Every target that is up has named a limit and takes no more for now.
+    /// Every target that is up has announced a limit and admits no more for now.
     #[display("targets-limited")]
     Limited,
-    /// The queue is at its bound.
+    /// The queue is full.
     #[display("queue-full")]
     QueueFull,
-    /// The deadline would pass before its turn.
+    /// The deadline would pass before the request reached the head of the queue.
     #[display("deadline")]
     Deadline,
-    /// It can no longer begin on time, and what is free is kept for those that can.
+    /// The request can no longer meet its objective, and free capacity is reserved for those that
+    /// can.
     #[display("past-objective")]
     Late,
     /// The workspace is over its own limits.
@@ -111,38 +112,38 @@
     RetryBudget,
 }
 
-/// A refusal and when to come back.
+/// A refusal and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub reason: Reason,
-    /// When a retry is likely to be served.
+    /// After how long a retry is likely to be served.
     pub retry_after: Duration,
 }
 
-/// What decided where a generation was sent: the target as it was believed to stand, itself left out.
+/// The estimated load of the chosen target when a generation was placed, without that generation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Grounds {
-    /// The part of the target's memory in use.
+    /// The fraction of the target's KV cache in use.
     pub load: f64,
-    /// Answers that ran or waited there.
+    /// Generations that ran or were queued there.
     pub streams: u32,
-    /// Prompt tokens that waited to be read there.
+    /// Prompt tokens that were queued for prefill there.
     pub unread: Tokens,
-    /// How old the view of what others hold there was.
+    /// The age of the target's report, from which the load caused by other entries is known.
     pub age: Duration,
-    /// Whether the generation could no longer begin on time.
+    /// Whether the generation could no longer meet its objective.
     pub late: bool,
 }
 
-/// What becomes of a request.
+/// The gate's decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Send it to this target now.
     Send(id::Target),
     /// It is queued; [`crate::gate::Gate::poll`] decides later.
     Wait,
-    /// It is refused at once and has touched no target.
+    /// It is refused and was not sent to any target.
     Refuse(Refusal),
 }
 
@@ -153,7 +154,7 @@
     Whole,
     /// The target failed, refused or vanished.
     Failed,
-    /// The target answered with a failure of its own, which says little of the next request.
+    /// The target answered with a server error, which says little about the next request.
     Faulty,
     /// The caller gave up.
     Cancelled,
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -11,8 +11,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::ask::{Class, Report};
 use crate::curve::Curve;
+use crate::request::{Class, Report};
 use crate::share::Claim;
 use crate::time::Time;
 
--- a/crates/policy/src/sink.rs
+++ b/crates/policy/src/sequencer.rs
@@ -1,8 +1,8 @@
-//! The sink of one request: which tokens belong to its answer.
+//! Selects the tokens that belong to the answer of one request.
 //!
-//! A token is taken only when its generation and its offset are the next expected, so tokens that
-//! are late, crossed with another stream or doubled by a resumed link fall here and never reach a
-//! caller. See `docs/DESIGN.md`, section "One answer from one generation".
+//! A token is accepted only when its generation and its offset are the next expected ones. Tokens
+//! that are late, belong to another stream or were sent again over a resumed link are dropped and
+//! never reach a caller.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,18 +11,18 @@
 
 use crate::id;
 
-/// A place in an answer: the offset of a token within one generation.
+/// A position in an answer: the offset of a token within one generation.
 ///
 /// It is the SSE id of the token's event, written `GENERATION:OFFSET`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Position {
     /// The generation.
     pub generation: id::Generation,
-    /// The token's offset from zero.
+    /// The token's offset, from zero.
     pub offset: u64,
 }
 
-/// Why a text is no position.
+/// A text that is not a valid position.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("position is not GENERATION:OFFSET; pass on the last event id exactly as received")]
 pub struct PositionError;
@@ -45,27 +45,28 @@
     }
 }
 
-/// Takes the tokens of one generation once each and in order.
+/// Accepts each token of one generation once and in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sink {
     next: Position,
 }
 
 impl Sink {
-    /// Opens a sink that expects the token at `from` of `generation` first.
+    /// Creates a sequencer that expects the token at offset `from` of `generation` first.
     pub fn open(generation: id::Generation, from: u64) -> Self {
         Self { next: Position { generation, offset: from } }
     }
 
-    /// The position expected next.
+    /// Returns the next expected position.
     pub fn next(&self) -> Position {
         self.next
     }
 
-    /// Whether the token at `position` belongs next into the answer; it is expected no more then.
+    /// Whether the token at `position` is the next one; if so, the following position is expected
+    /// from now on.
     pub fn take(&mut self, position: Position) -> bool {
-        // Guards against doubled and crossed answers: they show as repeated or foreign lines on a
-        // page. Equality with the one expected position leaves room for neither.
+        // Prevents duplicated tokens and tokens of another stream, which would show as repeated or
+        // foreign lines: only the one expected position is accepted.
         if position != self.next {
             return false;
         }
@@ -73,10 +74,10 @@
         true
     }
 
-    /// Whether an end that counts `tokens` ends this answer.
+    /// Whether an end mark that counts `tokens` ends this answer.
     ///
-    /// An end mark that arrives before the last token, or that counts fewer than were taken, is
-    /// of another stream; taking it would cut a page short without anybody noticing.
+    /// An end mark that arrives before the last token, or that counts fewer tokens than were
+    /// accepted, belongs to another stream; accepting it would silently truncate the answer.
     pub fn ends(&self, tokens: u64) -> bool {
         tokens == self.next.offset
     }
--- a/crates/policy/src/ticket.rs
+++ b/crates/policy/src/ticket.rs
@@ -1,8 +1,8 @@
-//! Tickets: what lets a call that may not be repeated run at most once without shared state.
+//! Tickets: idempotency keys with which a call that must not be repeated runs at most once, without
+//! shared state.
 //!
-//! Only the process that issued a ticket runs its call, and it alone remembers that it did. A
-//! partition cannot double a run, since the issuer stands on one side of it. See
-//! `docs/DESIGN.md`, section "At most once without shared state".
+//! Only the process that issued a ticket runs its call, and only that process records that it did.
+//! A partition cannot cause a second run, since the issuer is on one side of it.
 
 use std::time::Duration;
 
@@ -13,30 +13,32 @@
 use crate::mac::Key;
 use crate::time::Time;
 
-/// How long a ticket may be used; long enough to retry through an entry's drain, short enough that
-/// what the issuer must remember stays small.
+/// How long a ticket is valid: long enough to retry while an entry drains, short enough that the
+/// issuer has few tickets to keep.
 pub const LIFETIME: Duration = Duration::from_secs(600);
 
 const PURPOSE: &str = "ticket";
 const SEPARATOR: char = '~';
 
-/// What a ticket says; service and workspace are covered by its code but not written in it.
+/// The contents of a ticket. The service and the workspace are covered by its code but not written
+/// in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The host that issued it.
     pub issuer: id::Host,
-    /// The run of that host's daemon; a later run remembers nothing and must not honour it.
+    /// The run of that host's process; a later run has no record of used tickets and must not
+    /// accept it.
     pub instance: id::Instance,
-    /// Counts the tickets of that run.
+    /// The ticket's number within that run.
     pub sequence: u64,
-    /// Until when it may be used, by the issuer's own clock, which never goes back.
+    /// When it expires, by the issuer's own clock, which never goes back.
     pub expires: Time,
 }
 
 /// Why a ticket is refused.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum TicketError {
-    /// No entry of this fleet wrote it for this service and workspace.
+    /// It was not issued by an entry of this fleet for this service and workspace.
     #[display(
         "the ticket is not one of this fleet for this service and workspace; \
          get one with POST /v1/tickets and pass it on exactly as received"
@@ -45,7 +47,7 @@
 }
 
 impl Ticket {
-    /// The ticket as text for the `Idempotency-Key` header.
+    /// Encodes and signs the ticket as text for the `Idempotency-Key` header.
     pub fn write(&self, key: &Key, workspace: &id::Workspace, service: &id::Service) -> SmolStr {
         let fields = [
             self.issuer.as_str().into(),
@@ -59,7 +61,11 @@
         smol_str::format_smolstr!("{issuer}~{instance}~{sequence}~{expires}~{code}")
     }
 
-    /// Reads a ticket for a call of `workspace` to `service`.
+    /// Decodes and verifies a ticket for a call of `workspace` to `service`.
+    ///
+    /// # Errors
+    ///
+    /// [`TicketError::Forged`] where the ticket is malformed or its code does not verify.
     pub fn read(
         key: &Key,
         workspace: &id::Workspace,
@@ -71,8 +77,8 @@
             return Err(TicketError::Forged);
         };
         let parts = [issuer, instance, sequence, expires, workspace.as_str(), service.as_str()];
-        // Guards against a made-up number that the issuer has forgotten or never gave out: such a
-        // call would run again. Only entries know the key.
+        // Prevents made-up sequence numbers that the issuer has evicted or never issued, whose
+        // calls would run again. Only entries have the key.
         if !key.verify(PURPOSE, &parts, code) {
             return Err(TicketError::Forged);
         }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,7 +1,7 @@
-//! Time as the decisions see it: microseconds since an origin that the caller chose.
+//! Time as passed to decisions: microseconds since an origin that the caller chose.
 //!
-//! Decisions take [`Time`] as an argument instead of reading a clock, so that tests and load
-//! patterns run in virtual time. Values of two processes are never compared.
+//! Decisions take [`Time`] as an argument instead of reading a clock, so that tests and simulations
+//! run in virtual time. Times of two processes are never compared.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -33,22 +33,22 @@
     /// A point that is never reached.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// The point `micros` microseconds after the origin.
+    /// Creates the point `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Seconds since the origin.
+    /// Returns the seconds since the origin.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// Time elapsed since `earlier`; zero where `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero where `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/policy/tests/carry.rs
+++ b/crates/policy/tests/carry.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use fireflyhoist_policy::ask::Class;
 use fireflyhoist_policy::gate::{Ask, Gate, Outcome, Report, Settings, Verdict};
 use fireflyhoist_policy::id;
+use fireflyhoist_policy::request::Class;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
 use rand::SeedableRng;
--- a/crates/policy/tests/answer.rs
+++ b/crates/policy/tests/failover.rs
@@ -1,12 +1,12 @@
-//! The sink, the session and the resume handle: one answer from one generation.
+//! Stream recovery: the sequencer, the failover session and the resume handle.
 
 use std::time::Duration;
 
+use fireflyhoist_policy::failover::{Break, Session, Step, Terms};
 use fireflyhoist_policy::handle::{Handle, HandleError};
 use fireflyhoist_policy::id::Generation;
 use fireflyhoist_policy::mac::Key;
-use fireflyhoist_policy::session::{Break, Session, Step, Terms};
-use fireflyhoist_policy::sink::{Position, Sink};
+use fireflyhoist_policy::sequencer::{Position, Sink};
 use fireflyhoist_policy::time::Time;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -27,8 +27,9 @@
 }
 
 proptest! {
-    /// A page is read over several links at once, in any order, with tokens of another page mixed
-    /// in. What the sink takes is the page from its first token on, each token once.
+    /// Tokens arrive over several links at once, in any order and mixed with tokens of other
+    /// generations. The sequencer must accept exactly the answer's tokens, from the first one on
+    /// and each once.
     #[test]
     fn whatever_arrives_the_sink_takes_a_prefix_once(
         arrivals in prop::collection::vec((0u128..3, 0u64..12), 0..200),
@@ -46,8 +47,8 @@
         prop_assert_eq!(taken, whole);
     }
 
-    /// Whatever breaks, in whatever order, a caller that has been shown a token is never moved to
-    /// another generation without being told, and every dead engine comes to an end.
+    /// After any sequence of failures, a caller that has received a token is never moved to another
+    /// generation without a restart event, and an engine that keeps failing is abandoned.
     #[test]
     fn a_shown_answer_is_never_spliced(
         breaks in prop::collection::vec((0u8..6, any::<bool>(), 0u64..5), 1..60),
@@ -104,8 +105,8 @@
     assert!(text.parse::<Position>().is_err());
 }
 
-/// An engine's process is gone: three tries find nobody, then another engine is asked. The tries
-/// span a quarter of a second, so a first token is late by no more than that.
+/// The engine's process is gone: three retries fail, then another engine is chosen. The retries
+/// take a quarter of a second, which bounds the added delay of the first token.
 #[test]
 fn an_engine_that_stays_away_is_given_up_after_three_tries() {
     let mut session = Session::open(at(0), TERMS, false);
@@ -116,7 +117,7 @@
     assert_eq!(session.break_off(at(0), Break::Refused), Step::Elsewhere);
 }
 
-/// A link that is cut again and again but brings tokens in between is worth keeping.
+/// A link that fails repeatedly but delivers tokens in between is not abandoned.
 #[test]
 fn progress_renews_the_tries() {
     let mut session = Session::open(at(0), TERMS, false);
@@ -127,8 +128,8 @@
     }
 }
 
-/// A generation waits inside its engine, which answers but produces nothing. Each look costs a new
-/// link, so looks grow rarer, and only the patience of the service ends them.
+/// The generation is queued inside its engine, which answers but produces nothing. Each check costs
+/// a new link, so the silence timeout doubles, and only the stall timeout ends the attempt.
 #[test]
 fn an_engine_that_answers_is_waited_for_until_the_patience_ends() {
     let mut session = Session::open(at(0), TERMS, false);
@@ -149,7 +150,7 @@
     assert!(now >= at(30) && links <= 5, "{links} links by {now}");
 }
 
-/// A target that could not be connected was not asked: nothing has run, and another is tried.
+/// Where no connection could be opened, nothing has run, and another target is tried.
 #[test]
 fn a_refused_connection_leaves_the_request_unrun() {
     let mut session = Session::open(at(0), TERMS, false);
@@ -169,8 +170,8 @@
     assert_eq!(session.break_off(at(1), Break::Lost), expected);
 }
 
-/// A caller takes up a whole answer of which its first entry had handed over a part before dying.
-/// What it has was shown, so a fresh generation may not follow it.
+/// A caller resumes a buffered answer whose first entry had delivered a part before it failed. A
+/// new generation must not follow what the caller already has.
 #[test]
 fn a_whole_answer_that_was_partly_handed_over_is_not_begun_anew() {
     let mut session = Session::open(at(0), Terms { whole: true, ..TERMS }, true);
@@ -213,7 +214,7 @@
 }
 
 proptest! {
-    /// A caller changes any one character of its handle to reach another's stream.
+    /// A caller modifies one character of its handle to reach another caller's stream.
     #[test]
     fn a_changed_handle_is_forged(index in 0usize..150, with in "[0-9a-z~:]") {
         let text = handle().write(&Key::open("k"));
--- a/crates/policy/tests/id.rs
+++ b/crates/policy/tests/id.rs
@@ -1,4 +1,4 @@
-//! Names and ids refuse what they cannot carry and say why.
+//! Validation and text forms of names and ids.
 
 use fireflyhoist_policy::id::{Generation, Host, NameError};
 use yare::parameterized;
--- a/crates/policy/tests/length.rs
+++ b/crates/policy/tests/length.rs
@@ -1,4 +1,4 @@
-//! How long an answer will be.
+//! Prediction of answer lengths.
 
 use fireflyhoist_policy::curve::Curve;
 use fireflyhoist_policy::id;
@@ -36,8 +36,8 @@
     assert!(law.expected(200, 300) <= 300.0, "no answer passes its limit");
 }
 
-/// Long answers end last. Counting only what has ended, a process that began a minute ago would
-/// think all answers short and fill every engine.
+/// Long answers end last. If only ended answers counted, a recently started process would predict
+/// short answers only and overload every engine.
 #[test]
 fn long_answers_that_still_run_are_not_forgotten() {
     let mut book = Book::open();
--- a/crates/policy/tests/order_promise.rs
+++ b/crates/policy/tests/order_lease.rs
@@ -1,10 +1,10 @@
-//! Promises to stewards of engines that ignore fencing numbers.
+//! Leases for owners of engines that ignore fencing numbers.
 
 use std::time::Duration;
 
 use fireflyhoist_policy::id::{Host, Target};
 use fireflyhoist_policy::order::fence::Mark;
-use fireflyhoist_policy::order::promise::{Ask, DRIFT, Promiser, Quorum, Refused, SPAN, WRITE};
+use fireflyhoist_policy::order::lease::{Ask, DRIFT, Promiser, Quorum, Refused, SPAN, WRITE};
 use fireflyhoist_policy::time::Time;
 use proptest::prelude::*;
 
@@ -24,13 +24,14 @@
     Ask { engine: engine(), steward: host(steward), mark: mark(version) }
 }
 
-/// An old host that may promise.
+/// A host that has run long enough to grant leases.
 fn promiser() -> (Promiser, Time) {
     (Promiser::open(Time::ZERO), Time::ZERO + SPAN)
 }
 
-/// Two entries believe they are an engine's steward, one with a newer version. The older one's
-/// order is on its way when the newer one writes, and lands last: members get the old model.
+/// Two entries consider themselves an engine's owner, one of them with a newer version. Guards
+/// against the older one's order being in flight while the newer one writes, and arriving last: the
+/// engine would get the old model.
 #[test]
 fn a_host_promises_one_steward_at_a_time() {
     let (mut promiser, now) = promiser();
@@ -39,8 +40,8 @@
     assert_eq!(promiser.ask(now + SPAN, mark(1), &ask(1, 2)), Ok(()));
 }
 
-/// An entry promises, is killed and starts again on the same address within a second. Promising
-/// afresh, it would make a second majority while the first still holds.
+/// An entry grants a lease, is killed and starts again on the same address within a second. If it
+/// granted at once, a second majority would form while the first is still valid.
 #[test]
 fn a_process_that_just_started_promises_nothing_for_one_span() {
     let mut promiser = Promiser::open(Time::ZERO);
@@ -49,15 +50,17 @@
     assert_eq!(promiser.ask(Time::ZERO + SPAN, mark(1), &ask(0, 1)), Ok(()));
 }
 
-/// A steward that was cut off still follows last week's text and asks to load last week's model.
+/// An owner that was partitioned still follows an old version and requests a lease to load the old
+/// model.
 #[test]
 fn a_steward_with_an_older_version_is_refused() {
     let (mut promiser, now) = promiser();
     assert_eq!(promiser.ask(now, mark(2), &ask(0, 1)), Err(Refused::Behind));
 }
 
-/// A host on the cut-off side promises version 2 before it has read it. The partition moves and a
-/// steward of version 1 asks the same host, which itself still follows version 1.
+/// A host on the far side of a partition grants a lease to version 2 before it has that version
+/// itself. The partition changes, and an owner with version 1 asks the same host, which itself
+/// still follows version 1.
 #[test]
 fn a_host_that_promised_a_newer_version_refuses_the_older() {
     let (mut promiser, now) = promiser();
@@ -65,8 +68,8 @@
     assert_eq!(promiser.ask(now + SPAN, mark(1), &ask(1, 1)), Err(Refused::Behind));
 }
 
-/// A steward gathers its promises and is paused before it writes. Another one orders the next
-/// version meanwhile; then the first wakes, sure of its majority, and would put the old model back.
+/// An owner collects its grants and is paused before it writes. Another one orders the next version
+/// meanwhile; when the first resumes, its write would restore the old model.
 #[test]
 fn a_steward_that_paused_before_its_write_no_longer_may() {
     let mut quorum = Quorum::open(Time::ZERO, (0..3).map(host));
@@ -75,8 +78,8 @@
     assert!(!quorum.permits(Time::ZERO + (SPAN - WRITE)));
 }
 
-/// A partition leaves two of five hosts on one side. They may not order, however sure they are;
-/// nor do hosts help that are on no published list.
+/// A partition leaves two of five hosts on one side. They may not order, and grants of hosts that
+/// are not on the published list do not count.
 #[test]
 fn a_minority_of_the_published_hosts_may_not_order() {
     let mut quorum = Quorum::open(Time::ZERO, (0..5).map(host));
@@ -108,7 +111,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1000))]
 
-    /// Whatever is asked, restarted or delayed, two stewards never may write at once.
+    /// Two owners may never write at once, whatever the requests, restarts and delays.
     #[test]
     fn two_stewards_never_hold_an_engine_together(
         events in prop::collection::vec(event(), 0..60),
--- a/crates/policy/tests/order_plan.rs
+++ b/crates/policy/tests/order_plan.rs
@@ -1,13 +1,13 @@
-//! Who orders an engine, how loads are paced and rolled, and which number an order bears.
+//! Ownership of engines, rollout and pacing of loads, and fencing numbers of orders.
 
 use std::time::Duration;
 
 use fireflyhoist_policy::id::{Host, Service, Target};
+use fireflyhoist_policy::order::desired::{Declared, Fencing, Role, Setup, engines};
 use fireflyhoist_policy::order::fence::{Fence, FenceError, MAX_REVISION, Mark};
 use fireflyhoist_policy::order::pace::{self, Pacer};
-use fireflyhoist_policy::order::roll::{Status, eligible};
-use fireflyhoist_policy::order::wanted::{Declared, Fencing, Role, Setup, engines};
-use fireflyhoist_policy::order::{plan, steward};
+use fireflyhoist_policy::order::rollout::{Status, eligible};
+use fireflyhoist_policy::order::{owner, plan};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Bytes;
 use proptest::prelude::*;
@@ -45,8 +45,8 @@
     }
 }
 
-/// Two entries read the same text, in which an operator moved some lines. If what they want
-/// differed in the order of adapters, they would order each engine back and forth for ever.
+/// Two entries read the same text with its lines in a different order. If the resulting setups
+/// differed in the order of adapters, the two would order each engine back and forth without end.
 #[test]
 fn one_version_wants_the_same_of_every_engine_wherever_it_is_read() {
     let everywhere = |_: &Host| true;
@@ -56,8 +56,8 @@
     assert_eq!(forth[0].setup.adapters, ["antiqua", "kurrent"]);
 }
 
-/// A borrowed host is about to be taken back. An engine there that began to load would draw on
-/// the weight store for nothing.
+/// A borrowed host is about to be taken back. Guards against an engine there starting a load that
+/// uses the weight store to no effect.
 #[test]
 fn a_host_that_leaves_is_ordered_nothing() {
     let kept = engines((0..3).map(declared), |host| host.as_str() != "m1");
@@ -65,8 +65,8 @@
     assert_eq!(kept.len(), 2);
 }
 
-/// A version changes the model of twelve engines. If all loaded at once, the search pages that
-/// call them would answer nothing for minutes.
+/// A version changes the model of twelve engines. If all loaded at once, services that call them
+/// would get no answers for minutes.
 #[test]
 fn at_most_a_quarter_of_a_service_is_out_at_once() {
     let mut engines: Vec<(Target, Status)> =
@@ -87,8 +87,8 @@
     assert!(engines.iter().all(|(_, status)| *status == Status::Settled));
 }
 
-/// Two stewards cannot talk, and one of them cannot read an engine. Each would take that place for
-/// itself, and twice the quarter would be out.
+/// Owners do not coordinate, and one of them cannot read an engine. If that engine were not
+/// counted, each owner would use its place, and twice the quarter would be unavailable.
 #[test]
 fn an_engine_that_cannot_be_read_holds_a_place() {
     let names = targets(4);
@@ -99,8 +99,8 @@
     assert_eq!(eligible(&service(), &all(Status::Stale)).len(), 1);
 }
 
-/// New engines serve nobody yet, and one that loads the wrong thing is out already: holding them
-/// back would leave the service smaller for longer.
+/// New engines serve nothing yet, and one that loads another setup is already unavailable. Delaying
+/// these would only keep the service's capacity reduced for longer.
 #[test]
 fn engines_that_serve_nobody_wait_for_no_place() {
     let names = targets(4);
@@ -113,8 +113,8 @@
     assert_eq!(eligible(&service(), &engines), names[..3].iter().collect::<Vec<_>>());
 }
 
-/// Dozens of engines want a hundred gibibytes each. All at once they would share the store's rate
-/// so thinly that none serves before nearly all do.
+/// Dozens of engines each load a hundred gibibytes. If all loaded at once, each would get so little
+/// of the store's rate that none would serve before nearly all do.
 #[test]
 fn one_load_follows_another_at_the_rate_of_the_weight_store() {
     let mut pacer = Pacer::open();
@@ -125,8 +125,9 @@
     assert!(pacer.is_free(Time::ZERO + Duration::from_secs(10)));
 }
 
-/// A steward that was away still follows version 6 while the engine has taken an order of version
-/// 7. Outbidding it would put the old model back, and the two would go on for the whole partition.
+/// An owner that was partitioned still follows version 6 while the engine has accepted an order of
+/// version 7. Overriding it would restore the old model, and the two owners would alternate for the
+/// whole partition.
 #[test]
 fn a_steward_with_an_older_version_cannot_outbid_a_newer() {
     let seven = Fence::default().next(mark(7)).expect("a number");
@@ -135,7 +136,7 @@
     assert!(seven.next(mark(8)).expect("a number") > seven);
 }
 
-/// An engine is refused its load again and again until the numbers of one version are used up.
+/// An engine's load fails repeatedly until the numbers of one version are used up.
 #[test]
 fn numbers_never_wrap_into_the_next_version() {
     let mut fence = Fence::default();
@@ -168,7 +169,7 @@
 }
 
 proptest! {
-    /// Every engine has one steward, and the parts of the weight store's rate sum to the whole.
+    /// Every engine has one owner, and the shares of the weight store's rate sum to one.
     #[test]
     fn stewards_share_engines_and_rate(members in 1usize..12, count in 1usize..40) {
         let (members, engines) = (hosts(members), targets(count));
@@ -176,9 +177,9 @@
         prop_assert!((share - 1.0).abs() < 1e-9);
         let without = &members[1..];
         for engine in &engines {
-            let before = steward::of(engine, &members);
+            let before = owner::of(engine, &members);
             if before != Some(&members[0]) {
-                prop_assert_eq!(steward::of(engine, without), before, "only its own engines move");
+                prop_assert_eq!(owner::of(engine, without), before, "only its own engines move");
             }
         }
     }
--- a/crates/policy/tests/position.rs
+++ b/crates/policy/tests/position.rs
@@ -1,9 +1,9 @@
-//! Positions in the history of a registry that may come back from a copy.
+//! Positions in the history of a registry that may be restored from a copy.
 
 use fireflyhoist_policy::position::Position;
 use yare::parameterized;
 
-/// Guards against a revision that was given out again being taken for the newer one.
+/// Guards against a reused revision being taken for the newer one.
 #[test]
 fn eras_go_before_revisions() {
     let positions = [(0, 7), (0, 900), (1, 3), (1, 4), (2, 0)];
@@ -28,7 +28,8 @@
     }
 }
 
-/// Guards against entries of an older release, which know revisions only, not being understood.
+/// Guards against positions that entries of an older release, which know revisions only, cannot
+/// decode.
 #[test]
 fn a_plain_revision_is_one_of_the_first_era() {
     let read = |json: &str| serde_json::from_str::<Position>(json).expect("a position");
--- a/crates/policy/tests/reading.rs
+++ b/crates/policy/tests/prefill_placement.rs
@@ -1,4 +1,4 @@
-//! Prompts that meet at one engine while others read nothing.
+//! Placement of prompts: how often a prompt queues for prefill behind another at the same engine.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,21 @@
 use rand::{Rng, SeedableRng};
 use yare::parameterized;
 
-/// Engines of the larger Brno deployment that are not being taken back.
+/// Engines of a large deployment, without those on hosts that are being reclaimed.
 const ENGINES: usize = 38;
 
-/// Prompts a second there: 28 pages and 32 villages.
+/// Prompts per second of that deployment: 28 for pages and 32 for villages, its two kinds of
+/// request.
 const PROMPTS: f64 = 60.0;
 
-/// Time to read one: 2,600 tokens at 14 a millisecond, half of it left to running answers.
+/// Prefill time of one prompt: 2,600 tokens at 14 per millisecond, with half of the engine's time
+/// left to running answers.
 const READ_MS: f64 = 380.0;
 
-/// How old each entry's view of the others is.
+/// Age of each entry's view of the prompts that other entries sent.
 const LAG_MS: f64 = 20.0;
 
-/// Entries that send.
+/// Entries that send prompts.
 const ENTRIES: usize = 18;
 
 struct Sent {
@@ -29,8 +31,8 @@
     done: f64,
 }
 
-/// The part of all prompts that wait behind another, where each entry picks the best of `choices`
-/// by what it knows: its own prompts at once, those of others after the lag.
+/// Returns the fraction of prompts that queue behind another, where each entry picks the best of
+/// `choices` candidates. It knows its own prompts at once and those of others after the delay.
 fn waiting(choices: usize) -> f64 {
     waiting_of(choices, ENGINES, PROMPTS, READ_MS)
 }
@@ -58,9 +60,9 @@
     waited as f64 / total as f64
 }
 
-/// A member waits two seconds for the first line of a page although most engines read nothing: the
-/// two engines that were drawn for it both had a prompt to read. Entries know within 20 ms what the
-/// others sent, so more may be drawn without all of them picking the same one.
+/// Guards against a first token that is seconds late although most engines run no prefill, because
+/// both candidates drawn for its prompt did. Entries know within 20 ms what the others sent, so
+/// more candidates may be drawn without all entries picking the same engine.
 #[test]
 fn fresh_views_let_prompts_avoid_each_other() {
     let (two, six) = (waiting(CHOICES_LAGGED), waiting(CHOICES_FRESH));
@@ -68,8 +70,8 @@
     assert!(six < two / 2.0, "{six} of {two}");
 }
 
-/// Guards against a number of draws that suits one load only: shorter prompts, half and double the rate,
-/// and a third of the engines cordoned.
+/// Guards against a number of candidates that suits one load only: shorter prompts, half and double
+/// the rate, and a third of the engines cordoned.
 #[parameterized(
     short_answers = { 45, 62.0, 320.0 },
     half_the_rate = { 45, 31.0, 320.0 },
--- a/crates/policy/tests/handover.rs
+++ b/crates/policy/tests/shutdown.rs
@@ -1,8 +1,8 @@
-//! Pattern `rolling restart`: answers that are asked of an entry that leaves.
+//! Decisions of an entry that shuts down.
 
 use std::time::Duration;
 
-use fireflyhoist_policy::handover::{Choice, Situation, choose};
+use fireflyhoist_policy::shutdown::{Choice, Situation, choose};
 use fireflyhoist_policy::unit::Tokens;
 use yare::parameterized;
 
@@ -12,8 +12,9 @@
     Duration::from_millis(ms)
 }
 
-/// A page is refused by three entries in a row and given up: all of them are being stopped, and the
-/// caller came back at once with the addresses that it still kept. It comes back when these are new.
+/// Guards against a request being refused by several stopping entries in a row and then abandoned:
+/// a caller that retries at once uses cached addresses of entries that are also stopping. It must
+/// be told to retry once these have expired.
 #[parameterized(
     at_once = { 0, 1_050 },
     a_little_later = { 400, 650 },
@@ -24,8 +25,9 @@
     assert_eq!(choose(&situation, Tokens::new(20)), Choice::ComeBack(ms(after)));
 }
 
-/// Every entry is stopped within two seconds, and all that is asked for meanwhile is refused. What
-/// is short enough to end in the grace is served; the rest comes back after the restart.
+/// All entries are stopped within two seconds. Guards against every request being refused
+/// meanwhile: answers short enough to finish within the grace period are served, and the others are
+/// told to retry after the restart.
 #[parameterized(
     short = { 200, 500, Choice::Serve },
     long = { 600, 500, Choice::ComeBack(Duration::from_millis(7_700)) },
--- a/crates/policy/tests/ticket.rs
+++ b/crates/policy/tests/ticket.rs
@@ -1,7 +1,7 @@
-//! Tickets and the ledger: a call that may not be repeated runs at most once.
+//! Tickets and the idempotency store: a call that must not be repeated runs at most once.
 
 use fireflyhoist_policy::id::{Host, Instance, Service, Workspace};
-use fireflyhoist_policy::ledger::{Claim, Ledger, MAX_REPLY, Result};
+use fireflyhoist_policy::idempotency::{Claim, Ledger, MAX_REPLY, Result};
 use fireflyhoist_policy::mac::Key;
 use fireflyhoist_policy::ticket::{LIFETIME, Ticket, TicketError};
 use fireflyhoist_policy::time::Time;
@@ -38,7 +38,7 @@
 }
 
 proptest! {
-    /// Somebody changes one character of a used ticket, to have its call run once more.
+    /// A caller modifies one character of a used ticket to have its call run again.
     #[test]
     fn a_changed_ticket_is_forged(index in 0usize..90, with in "[0-9a-z~]") {
         let nord: Workspace = "nord".parse().expect("name");
@@ -51,8 +51,8 @@
         prop_assert!(Ticket::read(&Key::open("k"), &nord, &dispatch, &changed).is_err());
     }
 
-    /// Repeats, ends, failures and the passage of time come in any order. Between two claims of a
-    /// ticket that are told to run, the first was always taken back unwritten.
+    /// Claims, outcomes, releases and the passage of time come in any order. Between two claims of
+    /// a ticket that are told to run, the first was always released without having been written.
     #[test]
     fn a_ticket_runs_at_most_once_whatever_the_order(
         steps in prop::collection::vec((0u8..5, 1u64..6, 0u64..200), 1..200),
@@ -91,7 +91,7 @@
     assert_eq!(ledger.claim(Time::ZERO, &ticket(1, 9), 2), Claim::Crossed);
 }
 
-/// A reply that is too large to keep is still told: that the call ran, and its status.
+/// Of a reply that is too large to keep, the fact that the call ran and its status are kept.
 #[test]
 fn of_a_large_reply_the_status_is_remembered() {
     let mut ledger: Ledger<u8> = Ledger::open(9);
--- a/crates/standin/src/order.rs
+++ b/crates/standin/src/order.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use fireflyhoist_policy::order::desired::{Fencing, Setup};
 use fireflyhoist_policy::order::fence::Fence;
-use fireflyhoist_policy::order::wanted::{Fencing, Setup};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_wire::order::{Observed, Order, PATH, Refused};
 use ntex::web::{self, HttpResponse, ServiceConfig};
--- a/crates/standin/tests/order_weighing.rs
+++ b/crates/standin/tests/order_weighing.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id::{Host, Target};
+use fireflyhoist_policy::order::desired::{Fencing, Role, Setup};
 use fireflyhoist_policy::order::fence::Mark;
+use fireflyhoist_policy::order::lease::{Ask, Promiser, Quorum, WRITE};
+use fireflyhoist_policy::order::owner;
 use fireflyhoist_policy::order::plan::{Order, Step, step};
-use fireflyhoist_policy::order::promise::{Ask, Promiser, Quorum, WRITE};
-use fireflyhoist_policy::order::steward;
-use fireflyhoist_policy::order::wanted::{Fencing, Role, Setup};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_standin::order::Orders;
 use rand::{Rng, SeedableRng};
@@ -179,7 +179,7 @@
         let own = self.entries[at].name.clone();
         let version = self.entries[at].version;
         self.entries[at].due = now + Duration::from_millis(500);
-        if steward::of(&engine(), &names) != Some(&own) {
+        if owner::of(&engine(), &names) != Some(&own) {
             return;
         }
         let observed = self.engine.observe(now);
--- a/crates/standin/tests/orders.rs
+++ b/crates/standin/tests/orders.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use fireflyhoist_policy::order::desired::{Fencing, Role, Setup};
 use fireflyhoist_policy::order::fence::{FenceError, Mark};
 use fireflyhoist_policy::order::plan::{Observed, Order, Step, step};
-use fireflyhoist_policy::order::wanted::{Fencing, Role, Setup};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_standin::order::Orders;
 use proptest::prelude::*;
--- a/crates/text/src/model.rs
+++ b/crates/text/src/model.rs
@@ -8,7 +8,7 @@
 use fireflyhoist_policy::burn;
 use fireflyhoist_policy::gate::Class;
 use fireflyhoist_policy::id;
-pub use fireflyhoist_policy::order::wanted::Role;
+pub use fireflyhoist_policy::order::desired::Role;
 use fireflyhoist_policy::unit::{TokenRate, Tokens};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
--- a/crates/wire/src/transcode.rs
+++ b/crates/wire/src/transcode.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::sink::{Position, Sink};
+use fireflyhoist_policy::sequencer::{Position, Sink};
 
 use crate::engine::{End, RawToken};
 use crate::sse::{Decoder, StreamError, View};
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use std::time::Duration;
 
+use fireflyhoist_policy::failover::{Break, Session, Step, Terms};
 use fireflyhoist_policy::id::Generation;
-use fireflyhoist_policy::session::{Break, Session, Step, Terms};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_wire::transcode::Transcoder;
 
