--- a/crates/daemon/src/connection/order.rs
+++ b/crates/daemon/src/connection/order.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use fireflyhoist_policy::order::lease::WRITE;
+use fireflyhoist_policy::order::lease::WRITE_TIMEOUT;
 use fireflyhoist_wire::order::{Observed, Order, PATH, Refused};
 use ntex::client::Client;
 use ntex::http::StatusCode;
@@ -35,7 +35,7 @@
 /// Gives an order, once.
 pub(crate) async fn write(client: &Client, address: SocketAddr, order: &Order) -> Written {
     let url = format!("http://{address}{PATH}");
-    let Ok(response) = client.post(url).timeout(WRITE).send_json(order).await else {
+    let Ok(response) = client.post(url).timeout(WRITE_TIMEOUT).send_json(order).await else {
         return Written::Unknown;
     };
     match response.status() {
--- a/crates/daemon/src/process/steward.rs
+++ b/crates/daemon/src/process/steward.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::order::desired::{Declared, Fencing};
-use fireflyhoist_policy::order::fence::Mark;
+use fireflyhoist_policy::order::desired::{Engine, Fencing};
+use fireflyhoist_policy::order::fence::Epoch;
 use fireflyhoist_policy::order::owner;
 use fireflyhoist_policy::order::pace::{self, Pacer};
-use fireflyhoist_policy::order::plan::{self, Observed, Order, Step};
+use fireflyhoist_policy::order::plan::{self, Action, Observed, Order};
 use fireflyhoist_policy::order::rollout::{self, Status};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_wire::platform::{Host, State};
@@ -51,8 +51,8 @@
 struct Round<'a> {
     worker: &'a Worker,
     snapshot: Arc<Snapshot>,
-    mark: Mark,
-    engines: Vec<Declared>,
+    mark: Epoch,
+    engines: Vec<Engine>,
     /// This host's part of the weight store's rate, in bytes a second.
     rate: f64,
 }
@@ -62,7 +62,7 @@
     async fn round(&mut self, worker: &Worker) -> bool {
         let Some(snapshot) = worker.process.serving() else { return true };
         let (revision, digest) = (snapshot.version.revision(), snapshot.version.digest());
-        let mark = match Mark::of(revision, digest) {
+        let mark = match Epoch::of(revision, digest) {
             Ok(mark) => mark,
             Err(error) => {
                 ::log::warn!(error:% = error; "no engine can be ordered");
@@ -75,8 +75,8 @@
         let names: Vec<id::Target> = engines.iter().map(|e| e.target.clone()).collect();
         let rate = snapshot.text.weight_store.map_or(0.0, |store| store.gib_per_second);
         let rate = rate * wanted::GIB as f64 * pace::share(own, &members, &names).get();
-        let mine = |e: &&Declared| owner::of(&e.target, &members) == Some(own);
-        let mine: Vec<Declared> = engines.iter().filter(mine).cloned().collect();
+        let mine = |e: &&Engine| owner::of(&e.target, &members) == Some(own);
+        let mine: Vec<Engine> = engines.iter().filter(mine).cloned().collect();
         self.troubles.retain(|target, _| mine.iter().any(|e| e.target == *target));
         let round = Round { worker, snapshot, mark, engines, rate };
         let observed = round.read(&mine).await;
@@ -91,17 +91,17 @@
     async fn attend(
         &mut self,
         round: &Round<'_>,
-        engine: &Declared,
+        engine: &Engine,
         observed: Option<Observed>,
     ) -> bool {
         let Some(observed) = observed else { return true };
-        match plan::step(&engine.setup, engine.fencing, round.mark, &observed) {
-            Ok(Step::Nothing) => {
+        match plan::decide(&engine.setup, engine.fencing, round.mark, &observed) {
+            Ok(Action::Nothing) => {
                 self.troubles.remove(&engine.target);
                 observed.loading.is_some()
             }
-            Ok(Step::Claim(order)) => round.give(engine, &order).await == Written::Taken,
-            Ok(Step::Load(order)) => {
+            Ok(Action::RaiseFence(order)) => round.give(engine, &order).await == Written::Taken,
+            Ok(Action::Load(order)) => {
                 self.load(round, engine, &order).await;
                 true
             }
@@ -112,13 +112,13 @@
         }
     }
 
-    async fn load(&mut self, round: &Round<'_>, engine: &Declared, order: &Order) {
+    async fn load(&mut self, round: &Round<'_>, engine: &Engine, order: &Order) {
         if engine.fencing == Fencing::Ignored {
             // Without promises, an entry that paused could undo a newer version's order.
             return self.trouble(engine, "engines that ignore fencing numbers get no orders yet");
         }
         let now = round.worker.process.clock.now();
-        if !self.pacer.is_free(now) || !round.may_go(engine).await {
+        if !self.pacer.may_start(now) || !round.may_go(engine).await {
             return;
         }
         if round.give(engine, order).await != Written::Unknown {
@@ -126,13 +126,13 @@
         }
     }
 
-    fn paid(&mut self, now: Time, round: &Round<'_>, engine: &Declared) {
-        self.pacer.take(now, engine.weights, round.rate);
+    fn paid(&mut self, now: Time, round: &Round<'_>, engine: &Engine) {
+        self.pacer.charge(now, engine.weights, round.rate);
         self.troubles.remove(&engine.target);
     }
 
     /// Logs what keeps an engine from being ordered, once for each cause.
-    fn trouble(&mut self, engine: &Declared, cause: &str) {
+    fn trouble(&mut self, engine: &Engine, cause: &str) {
         if self.troubles.get(&engine.target).is_none_or(|known| known != cause) {
             ::log::warn!(target_name:% = engine.target, cause:% = cause; "engine not ordered");
             self.troubles.insert(engine.target.clone(), cause.into());
@@ -141,7 +141,7 @@
 }
 
 impl Round<'_> {
-    async fn read(&self, engines: &[Declared]) -> Vec<Option<Observed>> {
+    async fn read(&self, engines: &[Engine]) -> Vec<Option<Observed>> {
         join_all(engines.iter().map(async |engine| {
             let address = wanted::address(&self.snapshot.text, engine)?;
             read(&self.worker.client, address).await
@@ -150,11 +150,11 @@
     }
 
     /// Whether the service can do without this engine now; reads all of its engines to know.
-    async fn may_go(&self, engine: &Declared) -> bool {
+    async fn may_go(&self, engine: &Engine) -> bool {
         let peers = self.engines.iter().filter(|peer| peer.service == engine.service);
-        let peers: Vec<Declared> = peers.cloned().collect();
+        let peers: Vec<Engine> = peers.cloned().collect();
         let observed = self.read(&peers).await;
-        let status = |(peer, observed): (&Declared, Option<Observed>)| {
+        let status = |(peer, observed): (&Engine, Option<Observed>)| {
             let status = observed.map_or(Status::Unreachable, |o| o.status(&peer.setup));
             (peer.target.clone(), status)
         };
@@ -162,7 +162,7 @@
         rollout::eligible(&engine.service, &statuses).contains(&&engine.target)
     }
 
-    async fn give(&self, engine: &Declared, order: &Order) -> Written {
+    async fn give(&self, engine: &Engine, order: &Order) -> Written {
         let Some(address) = wanted::address(&self.snapshot.text, engine) else {
             return Written::Unknown;
         };
--- a/crates/daemon/src/version/wanted.rs
+++ b/crates/daemon/src/version/wanted.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::order::desired::{self, Declared, Fencing, Setup};
+use fireflyhoist_policy::order::desired::{self, Engine, Fencing, Setup};
 use fireflyhoist_policy::unit::Bytes;
 use fireflyhoist_text::{Kind, Model, Service, Target, Text};
 use fireflyhoist_wire::platform::{Hosts, State};
@@ -16,7 +16,7 @@
 ///
 /// A host that is not listed at all may run its engine elsewhere than on this platform, so only
 /// "leaving" keeps an engine out, as it does for requests.
-pub(crate) fn engines(text: &Text, hosts: &Hosts) -> Vec<Declared> {
+pub(crate) fn engines(text: &Text, hosts: &Hosts) -> Vec<Engine> {
     let models = text.services.iter().filter(|service| service.kind == Kind::Model);
     let declared = models.flat_map(|service| {
         let model = service.model.as_ref().and_then(|name| text.model(name));
@@ -29,8 +29,8 @@
     desired::engines(declared, |host| !leaving(host))
 }
 
-fn declared(service: &Service, target: &Target, model: &Model) -> Declared {
-    Declared {
+fn declared(service: &Service, target: &Target, model: &Model) -> Engine {
+    Engine {
         target: target.name.clone(),
         host: target.host.clone(),
         service: service.name.clone(),
@@ -46,7 +46,7 @@
 }
 
 /// Where a target of the text listens.
-pub(crate) fn address(text: &Text, engine: &Declared) -> Option<SocketAddr> {
+pub(crate) fn address(text: &Text, engine: &Engine) -> Option<SocketAddr> {
     let service = text.service(&engine.service)?;
     service.targets.iter().find(|target| target.name == engine.target).map(|t| t.address)
 }
--- a/crates/policy/src/order/desired.rs
+++ b/crates/policy/src/order/desired.rs
@@ -61,7 +61,7 @@
 
 /// One engine as the operators' text declares it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Declared {
+pub struct Engine {
     /// The engine's name.
     pub target: id::Target,
     /// The host it runs on.
@@ -83,10 +83,10 @@
 /// the load. The result is sorted by target name, and adapters are sorted and deduplicated, so that
 /// every entry of one version gets the same result.
 pub fn engines(
-    declared: impl IntoIterator<Item = Declared>,
+    declared: impl IntoIterator<Item = Engine>,
     published: impl Fn(&id::Host) -> bool,
-) -> Vec<Declared> {
-    let mut engines: Vec<Declared> =
+) -> Vec<Engine> {
+    let mut engines: Vec<Engine> =
         declared.into_iter().filter(|engine| published(&engine.host)).collect();
     engines.iter_mut().for_each(|engine| {
         engine.setup.adapters.sort();
--- a/crates/policy/src/order/fence.rs
+++ b/crates/policy/src/order/fence.rs
@@ -25,13 +25,13 @@
 pub enum FenceError {
     /// The engine has accepted an order of a newer version.
     #[display("the engine was ordered by a newer version; this entry waits until it has that one")]
-    Behind,
+    Outdated,
     /// All numbers of this version are used up.
     #[display("65536 orders of this version went to the engine; publish the next revision")]
     Exhausted,
     /// The revision does not fit into a fencing number.
     #[display("revision {revision} is above 1099511627775; publish a smaller one")]
-    Revision {
+    RevisionTooLarge {
         /// The revision of the text.
         revision: u64,
     },
@@ -45,9 +45,9 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Mark(u64);
+pub struct Epoch(u64);
 
-impl Mark {
+impl Epoch {
     /// Returns the epoch of a version.
     ///
     /// # Errors
@@ -55,7 +55,7 @@
     /// [`FenceError::RevisionTooLarge`] where `revision` is above [`MAX_REVISION`].
     pub fn of(revision: u64, digest: &[u8]) -> Result<Self, FenceError> {
         if revision > MAX_REVISION {
-            return Err(FenceError::Revision { revision });
+            return Err(FenceError::RevisionTooLarge { revision });
         }
         let first = digest.first().copied().unwrap_or_default();
         Ok(Self(revision << DIGEST_BITS | u64::from(first)))
@@ -87,8 +87,8 @@
     }
 
     /// Returns the epoch of the version that this number was issued for.
-    pub fn mark(self) -> Mark {
-        Mark(self.0 >> COUNT_BITS)
+    pub fn epoch(self) -> Epoch {
+        Epoch(self.0 >> COUNT_BITS)
     }
 
     /// Returns the number for the next order of epoch `epoch` to an engine that reports `self` as
@@ -98,13 +98,13 @@
     ///
     /// [`FenceError::Outdated`] where the engine has accepted a newer version, and
     /// [`FenceError::Exhausted`] where the counter of this epoch is used up.
-    pub fn next(self, mark: Mark) -> Result<Self, FenceError> {
-        if self.mark() > mark {
-            return Err(FenceError::Behind);
+    pub fn next(self, epoch: Epoch) -> Result<Self, FenceError> {
+        if self.epoch() > epoch {
+            return Err(FenceError::Outdated);
         }
-        let first = Self(mark.0 << COUNT_BITS);
-        let next = Self(self.0.saturating_add(1)).max(first);
-        match next.mark() == mark && next > self {
+        let lowest = Self(epoch.0 << COUNT_BITS);
+        let next = Self(self.0.saturating_add(1)).max(lowest);
+        match next.epoch() == epoch && next > self {
             true => Ok(next),
             false => Err(FenceError::Exhausted),
         }
--- a/crates/policy/src/order/lease.rs
+++ b/crates/policy/src/order/lease.rs
@@ -26,69 +26,71 @@
 use serde::{Deserialize, Serialize};
 
 use crate::id;
-use crate::order::fence::Mark;
+use crate::order::fence::Epoch;
 use crate::time::Time;
 
 /// How long a grant lasts: enough to ask a majority, read the engine and write, and short against
 /// the 11 s within which a version must be in force.
-pub const SPAN: Duration = Duration::from_secs(4);
+pub const TTL: Duration = Duration::from_secs(4);
 
 /// How long an order may take to arrive; this is reserved at the end of the TTL.
-pub const WRITE: Duration = Duration::from_secs(1);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How far two clocks may drift apart within one TTL; far above the 500 ppm of a poor crystal.
-pub const DRIFT: Duration = Duration::from_millis(100);
+pub const MAX_CLOCK_DRIFT: Duration = Duration::from_millis(100);
 
 /// An owner's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The engine to be ordered.
     pub engine: id::Target,
     /// The host that requests the lease.
-    pub steward: id::Host,
+    #[serde(rename = "steward")]
+    pub owner: id::Host,
     /// The epoch of the version that the owner follows.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub epoch: Epoch,
 }
 
 /// Why a host does not grant a lease.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Refused {
+pub enum Rejection {
     /// The host's process has just started and may have granted a lease before.
-    #[display("this entry has just started; ask again after one promise span")]
+    #[display("this entry has just started; retry after one lease TTL")]
     Young,
     /// Another owner holds the lease.
-    #[display("another entry holds the promise; ask again when it has run out")]
+    #[display("another entry holds the lease; retry after it has expired")]
     Taken,
     /// The host knows a newer version than the owner's.
-    #[display("this entry knows a newer version; ask again when that one is in force")]
+    #[display("this entry knows a newer version; retry when that one is in force")]
     Behind,
 }
 
 #[derive(Clone, Debug)]
-struct Given {
-    steward: id::Host,
-    until: Time,
+struct Grant {
+    owner: id::Host,
+    expires: Time,
 }
 
 /// The grants of one host.
 #[derive(Debug)]
-pub struct Promiser {
-    from: Time,
-    newest: Mark,
-    given: HashMap<id::Target, Given>,
+pub struct Voter {
+    grants_from: Time,
+    newest_epoch: Epoch,
+    grants: HashMap<id::Target, Grant>,
 }
 
-impl Promiser {
+impl Voter {
     /// Creates the state of a process that starts at `now`.
     pub fn open(now: Time) -> Self {
-        Self { from: now + SPAN, newest: Mark::default(), given: HashMap::new() }
+        Self { grants_from: now + TTL, newest_epoch: Epoch::default(), grants: HashMap::new() }
     }
 
     /// Grants nothing for one TTL from `now`. It is called when the process detects that its clock
     /// jumped, and then cannot tell which of its grants are still valid.
-    pub fn distrust(&mut self, now: Time) {
-        self.from = now + SPAN;
+    pub fn suspend(&mut self, now: Time) {
+        self.grants_from = now + TTL;
     }
 
     /// Answers a request; `own` is the epoch of the version that this host follows.
@@ -96,21 +98,21 @@
     /// # Errors
     ///
     /// [`Rejection`] where this host does not grant the lease.
-    pub fn ask(&mut self, now: Time, own: Mark, ask: &Ask) -> Result<(), Refused> {
-        if now < self.from {
-            return Err(Refused::Young);
+    pub fn vote(&mut self, now: Time, own: Epoch, request: &Request) -> Result<(), Rejection> {
+        if now < self.grants_from {
+            return Err(Rejection::Young);
         }
-        self.newest = self.newest.max(own);
-        if ask.mark < self.newest {
-            return Err(Refused::Behind);
+        self.newest_epoch = self.newest_epoch.max(own);
+        if request.epoch < self.newest_epoch {
+            return Err(Rejection::Behind);
         }
-        self.given.retain(|_, given| now < given.until);
-        if self.given.get(&ask.engine).is_some_and(|given| given.steward != ask.steward) {
-            return Err(Refused::Taken);
+        self.grants.retain(|_, grant| now < grant.expires);
+        if self.grants.get(&request.engine).is_some_and(|grant| grant.owner != request.owner) {
+            return Err(Rejection::Taken);
         }
-        self.newest = ask.mark;
-        let given = Given { steward: ask.steward.clone(), until: now + SPAN };
-        self.given.insert(ask.engine.clone(), given);
+        self.newest_epoch = request.epoch;
+        let grant = Grant { owner: request.owner.clone(), expires: now + TTL };
+        self.grants.insert(request.engine.clone(), grant);
         Ok(())
     }
 }
@@ -118,7 +120,7 @@
 /// The grants that an owner has collected for one request.
 #[derive(Clone, Debug)]
 pub struct Quorum {
-    asked: Time,
+    requested_at: Time,
     published: BTreeSet<id::Host>,
     granted: BTreeSet<id::Host>,
 }
@@ -127,7 +129,11 @@
     /// Starts collecting grants of the `published` hosts; `now` must be read before the first
     /// request is sent.
     pub fn open(now: Time, published: impl IntoIterator<Item = id::Host>) -> Self {
-        Self { asked: now, published: published.into_iter().collect(), granted: BTreeSet::new() }
+        Self {
+            requested_at: now,
+            published: published.into_iter().collect(),
+            granted: BTreeSet::new(),
+        }
     }
 
     /// Records a grant; a host that is not published is ignored.
@@ -140,6 +146,6 @@
     /// Whether an order that is written now arrives while a majority of grants is still valid.
     pub fn permits(&self, now: Time) -> bool {
         let majority = self.granted.len() * 2 > self.published.len();
-        majority && now + WRITE + DRIFT <= self.asked + SPAN
+        majority && now + WRITE_TIMEOUT + MAX_CLOCK_DRIFT <= self.requested_at + TTL
     }
 }
--- a/crates/policy/src/order/pace.rs
+++ b/crates/policy/src/order/pace.rs
@@ -22,14 +22,14 @@
     if engines.is_empty() {
         return Share::new(0.0);
     }
-    let mine = engines.iter().filter(|engine| owner::of(engine, members) == Some(own)).count();
-    Share::new(mine as f64 / engines.len() as f64)
+    let owned = engines.iter().filter(|engine| owner::of(engine, members) == Some(own)).count();
+    Share::new(owned as f64 / engines.len() as f64)
 }
 
 /// Spaces out the loads of one owner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pacer {
-    free_at: Time,
+    next_start: Time,
 }
 
 impl Pacer {
@@ -39,18 +39,18 @@
     }
 
     /// Whether a load may start now.
-    pub fn is_free(&self, now: Time) -> bool {
-        now >= self.free_at
+    pub fn may_start(&self, now: Time) -> bool {
+        now >= self.next_start
     }
 
     /// Delays the next load by the time that a load of `weights` takes at `rate` bytes per second.
     ///
     /// A `rate` of zero means that no rate is published; loads are not delayed then.
-    pub fn take(&mut self, now: Time, weights: Bytes, rate: f64) {
+    pub fn charge(&mut self, now: Time, weights: Bytes, rate: f64) {
         if rate > 0.0 {
             let seconds = weights.get() as f64 / rate;
             let micros = (seconds * 1e6).min(1e15) as u64;
-            self.free_at = now.max(self.free_at) + std::time::Duration::from_micros(micros);
+            self.next_start = now.max(self.next_start) + std::time::Duration::from_micros(micros);
         }
     }
 }
--- a/crates/policy/src/order/plan.rs
+++ b/crates/policy/src/order/plan.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::order::desired::{Fencing, Setup};
-use crate::order::fence::{Fence, FenceError, Mark};
+use crate::order::fence::{Epoch, Fence, FenceError};
 use crate::order::rollout::Status;
 
 /// The state that an engine reports about its orders.
@@ -23,12 +23,12 @@
 
 impl Observed {
     /// Compares the engine's state with the desired setup.
-    pub fn status(&self, wanted: &Setup) -> Status {
+    pub fn status(&self, desired: &Setup) -> Status {
         match (&self.loading, &self.holds) {
-            (Some(loading), _) if loading == wanted => Status::Loading,
-            (Some(_), _) => Status::Diverted,
-            (None, Some(held)) if held == wanted => Status::Settled,
-            (None, Some(_)) => Status::Stale,
+            (Some(loading), _) if loading == desired => Status::Loading,
+            (Some(_), _) => Status::LoadingOther,
+            (None, Some(held)) if held == desired => Status::UpToDate,
+            (None, Some(_)) => Status::Outdated,
             (None, None) => Status::Empty,
         }
     }
@@ -46,7 +46,7 @@
 
 /// What to do about an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// The engine holds or is loading the desired setup; do nothing.
     Nothing,
     /// Send this order, which makes the engine load.
@@ -55,7 +55,7 @@
     ///
     /// Without it, an engine that keeps its setup across two versions would still accept an order
     /// of an intermediate version from an owner that was paused or partitioned.
-    Claim(Order),
+    RaiseFence(Order),
 }
 
 /// Decides on one engine.
@@ -67,18 +67,18 @@
 ///
 /// [`FenceError`] where the engine follows a newer version or no fencing number is left; the
 /// message says what to do.
-pub fn step(
-    wanted: &Setup,
+pub fn decide(
+    desired: &Setup,
     fencing: Fencing,
-    mark: Mark,
+    epoch: Epoch,
     observed: &Observed,
-) -> Result<Step, FenceError> {
-    let heading = observed.loading.as_ref().or(observed.holds.as_ref());
-    let there = heading == Some(wanted);
-    let claimed = fencing == Fencing::Ignored || observed.fence.mark() >= mark;
-    if there && claimed {
-        return Ok(Step::Nothing);
+) -> Result<Action, FenceError> {
+    let current = observed.loading.as_ref().or(observed.holds.as_ref());
+    let in_place = current == Some(desired);
+    let fence_raised = fencing == Fencing::Ignored || observed.fence.epoch() >= epoch;
+    if in_place && fence_raised {
+        return Ok(Action::Nothing);
     }
-    let order = Order { fence: observed.fence.next(mark)?, setup: wanted.clone() };
-    Ok(if there { Step::Claim(order) } else { Step::Load(order) })
+    let order = Order { fence: observed.fence.next(epoch)?, setup: desired.clone() };
+    Ok(if in_place { Action::RaiseFence(order) } else { Action::Load(order) })
 }
--- a/crates/policy/src/order/rollout.rs
+++ b/crates/policy/src/order/rollout.rs
@@ -15,21 +15,21 @@
 use crate::rendezvous;
 
 /// The divisor of a service's engine count that gives how many may be unavailable at once.
-pub const OUT: usize = 4;
+pub const UNAVAILABLE_DIVISOR: usize = 4;
 
 /// The state that was read from one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// It holds the desired setup.
-    Settled,
+    UpToDate,
     /// It holds nothing and serves nothing, so loading it removes no capacity.
     Empty,
     /// It serves another setup than the desired one.
-    Stale,
+    Outdated,
     /// It is loading the desired setup.
     Loading,
     /// It is loading another setup; ordering it removes no further capacity.
-    Diverted,
+    LoadingOther,
     /// It does not answer.
     Unreachable,
 }
@@ -39,15 +39,15 @@
     service: &id::Service,
     engines: &'a [(id::Target, Status)],
 ) -> Vec<&'a id::Target> {
-    let allowed = (engines.len() / OUT).max(1);
-    let is_out = |status: &Status| {
-        matches!(status, Status::Loading | Status::Diverted | Status::Unreachable)
+    let allowed = (engines.len() / UNAVAILABLE_DIVISOR).max(1);
+    let is_unavailable = |status: &Status| {
+        matches!(status, Status::Loading | Status::LoadingOther | Status::Unreachable)
     };
-    let out = engines.iter().filter(|(_, status)| is_out(status)).count();
+    let unavailable = engines.iter().filter(|(_, status)| is_unavailable(status)).count();
     let ranked = rendezvous::rank(service.as_str(), engines, |(target, _)| target.as_str());
-    let of = |wanted: Status| {
-        ranked.iter().filter(move |(_, status)| *status == wanted).map(|(target, _)| target)
+    let of = |sought: Status| {
+        ranked.iter().filter(move |(_, status)| *status == sought).map(|(target, _)| target)
     };
-    let stale = of(Status::Stale).take(allowed.saturating_sub(out));
-    of(Status::Empty).chain(of(Status::Diverted)).chain(stale).collect()
+    let outdated = of(Status::Outdated).take(allowed.saturating_sub(unavailable));
+    of(Status::Empty).chain(of(Status::LoadingOther)).chain(outdated).collect()
 }
--- a/crates/standin/tests/order_weighing.rs
+++ b/crates/standin/tests/order_weighing.rs
@@ -7,10 +7,10 @@
 
 use fireflyhoist_policy::id::{Host, Target};
 use fireflyhoist_policy::order::desired::{Fencing, Role, Setup};
-use fireflyhoist_policy::order::fence::Mark;
-use fireflyhoist_policy::order::lease::{Ask, Promiser, Quorum, WRITE};
+use fireflyhoist_policy::order::fence::Epoch;
+use fireflyhoist_policy::order::lease::{Quorum, Request, Voter, WRITE_TIMEOUT};
 use fireflyhoist_policy::order::owner;
-use fireflyhoist_policy::order::plan::{Order, Step, step};
+use fireflyhoist_policy::order::plan::{Action, Order, decide};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_standin::order::Orders;
 use rand::{Rng, SeedableRng};
@@ -41,7 +41,7 @@
     awake_at: Time,
     due: Time,
     phase: Phase,
-    promiser: Promiser,
+    promiser: Voter,
 }
 
 struct Flight {
@@ -69,8 +69,8 @@
     behind: u32,
 }
 
-fn mark(version: u64) -> Mark {
-    Mark::of(version, &[]).expect("fits")
+fn mark(version: u64) -> Epoch {
+    Epoch::of(version, &[]).expect("fits")
 }
 
 fn setup(version: u64) -> Setup {
@@ -91,7 +91,7 @@
             awake_at: Time::ZERO,
             due: Time::ZERO + Duration::from_millis(100 * n as u64),
             phase: Phase::Read,
-            promiser: Promiser::open(Time::ZERO),
+            promiser: Voter::open(Time::ZERO),
         };
         Self {
             way,
@@ -184,15 +184,15 @@
         }
         let observed = self.engine.observe(now);
         let wanted = setup(version);
-        let Ok(Step::Load(order)) = step(&wanted, Fencing::Ignored, mark(version), &observed)
+        let Ok(Action::Load(order)) = decide(&wanted, Fencing::Ignored, mark(version), &observed)
         else {
             return;
         };
         let mut quorum = Quorum::open(now, self.entries.iter().map(|e| e.name.clone()));
-        let ask = Ask { engine: engine(), steward: own, mark: mark(version) };
+        let ask = Request { engine: engine(), owner: own, epoch: mark(version) };
         for n in seen {
             let host = &mut self.entries[n];
-            if host.promiser.ask(now, mark(host.version), &ask).is_ok() {
+            if host.promiser.vote(now, mark(host.version), &ask).is_ok() {
                 quorum.grant(&host.name);
             }
         }
@@ -232,8 +232,8 @@
 /// it puts the old one back, again and again, while members are served by whichever is loaded.
 #[test]
 fn promises_keep_an_old_version_from_coming_back_through_partitions_and_pauses() {
-    let repair = tally(Way::Repair, WRITE);
-    let promise = tally(Way::Promise, WRITE);
+    let repair = tally(Way::Repair, WRITE_TIMEOUT);
+    let promise = tally(Way::Promise, WRITE_TIMEOUT);
     assert!(promise.orders > 100, "orders still go out: {promise:?}");
     assert!(repair.reversals > 1000, "the interleavings are hard enough: {repair:?}");
     assert_eq!(promise.reversals, 0, "{promise:?}");
@@ -245,6 +245,6 @@
 /// numbers takes it: this remains possible, and the next round repairs it.
 #[test]
 fn writes_later_than_the_span_keeps_back_reverse_few_orders() {
-    let promise = tally(Way::Promise, 5 * WRITE);
+    let promise = tally(Way::Promise, 5 * WRITE_TIMEOUT);
     assert!(promise.reversals * 50 < promise.orders, "{promise:?}");
 }
--- a/crates/standin/tests/orders.rs
+++ b/crates/standin/tests/orders.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::order::desired::{Fencing, Role, Setup};
-use fireflyhoist_policy::order::fence::{FenceError, Mark};
-use fireflyhoist_policy::order::plan::{Observed, Order, Step, step};
+use fireflyhoist_policy::order::fence::{Epoch, FenceError};
+use fireflyhoist_policy::order::plan::{Action, Observed, Order, decide};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_standin::order::Orders;
 use proptest::prelude::*;
 
 const LOAD: Duration = Duration::from_secs(2);
 
-fn mark(version: u64) -> Mark {
-    Mark::of(version, &[]).expect("fits")
+fn mark(version: u64) -> Epoch {
+    Epoch::of(version, &[]).expect("fits")
 }
 
 fn setup(version: u64) -> Setup {
@@ -22,9 +22,9 @@
 
 /// What a steward of `version` orders after it read `observed`.
 fn order(fencing: Fencing, version: u64, observed: &Observed) -> Option<Order> {
-    match step(&setup(version), fencing, mark(version), observed).ok()? {
-        Step::Nothing => None,
-        Step::Load(order) | Step::Claim(order) => Some(order),
+    match decide(&setup(version), fencing, mark(version), observed).ok()? {
+        Action::Nothing => None,
+        Action::Load(order) | Action::RaiseFence(order) => Some(order),
     }
 }
 
@@ -64,8 +64,8 @@
     }
     assert_eq!(engine.loads(), 2);
     assert_eq!(heading(&mut engine, Time::ZERO + Duration::from_secs(60)), Some(setup(2)));
-    let behind = step(&setup(1), Fencing::Checked, mark(1), &engine.observe(Time::ZERO));
-    assert_eq!(behind, Err(FenceError::Behind));
+    let behind = decide(&setup(1), Fencing::Checked, mark(1), &engine.observe(Time::ZERO));
+    assert_eq!(behind, Err(FenceError::Outdated));
 }
 
 /// A steward reads the engine, is paused for a minute and wakes with its order of version 1 in
@@ -89,8 +89,8 @@
     assert_eq!(engine.take(Time::ZERO, &first), Ok(()));
     let observed = engine.observe(Time::ZERO);
     let asleep = order(Fencing::Checked, 6, &observed).expect("an order");
-    let again = step(&setup(5), Fencing::Checked, mark(7), &observed);
-    let Ok(Step::Claim(claim)) = again else { panic!("{again:?}") };
+    let again = decide(&setup(5), Fencing::Checked, mark(7), &observed);
+    let Ok(Action::RaiseFence(claim)) = again else { panic!("{again:?}") };
     assert_eq!(engine.take(Time::ZERO, &claim), Ok(()));
     assert!(engine.take(Time::ZERO, &asleep).is_err());
     assert_eq!(engine.loads(), 1);
@@ -178,7 +178,7 @@
                 Event::Deliver { .. } | Event::Lose { .. } => {}
             }
         }
-        let marks: Vec<Mark> = engine.taken().iter().map(|order| order.fence.mark()).collect();
+        let marks: Vec<Epoch> = engine.taken().iter().map(|order| order.fence.epoch()).collect();
         prop_assert!(marks.is_sorted(), "{marks:?}");
     }
 }
