--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -67,7 +67,7 @@
         }
         if let Some(theirs) = beat.targets
             && wants_targets
-            && (targets_late || targets.is_none_or(|own| theirs.is_after(own)))
+            && (targets_late || targets.is_none_or(|own| theirs.has_later_era_than(own)))
         {
             self.want_targets(from, theirs);
         }
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -77,7 +77,7 @@
         let count = targets.len();
         let mut leases = self.leases.lock();
         let known = leases.position();
-        if known.is_after(at) {
+        if known.has_later_era_than(at) {
             drop(leases);
             self.refuse_older(known, at, source);
             return false;
--- a/crates/gateway/src/version/follow.rs
+++ b/crates/gateway/src/version/follow.rs
@@ -287,7 +287,7 @@
             let page = P::page(self.what, &reply.body).map_err(CallError::Decode)?;
             // Pages are no snapshot: what changed between them is in the changes after the first.
             let position = self.history.position(reply.era, page.revision);
-            if first.is_some_and(|first: Position| position.is_after(first)) {
+            if first.is_some_and(|first: Position| position.has_later_era_than(first)) {
                 return Err(CallError::Forgotten);
             }
             first.get_or_insert(position);
--- a/crates/policy/src/cordon.rs
+++ b/crates/policy/src/cordon.rs
@@ -88,7 +88,7 @@
         if self.is_older(at) {
             return false;
         }
-        let restored = self.at.is_some_and(|known| at.is_after(known));
+        let restored = self.at.is_some_and(|known| at.has_later_era_than(known));
         let mut new: BTreeMap<id::Domain, Option<Time>> =
             listed.into_iter().take(BOUND).map(|domain| (domain, None)).collect();
         for (domain, until) in &self.domains {
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -188,7 +188,7 @@
     /// Takes in one change at a position; returns whether anything is different now. One of an earlier
     /// era says nothing.
     pub fn change(&mut self, now: Time, position: Position, change: Change) -> bool {
-        if self.position.is_after(position) {
+        if self.position.has_later_era_than(position) {
             return false;
         }
         let changed = match change {
@@ -218,7 +218,7 @@
         if position < self.position {
             return false;
         }
-        let restored = position.is_after(self.position) && !self.live.is_empty();
+        let restored = position.has_later_era_than(self.position) && !self.live.is_empty();
         if restored {
             self.outage_over(now);
         }
@@ -235,7 +235,7 @@
         for id in missing {
             changed |= self.miss(now, position, &id);
         }
-        self.note(position, changed || position.is_after(before))
+        self.note(position, changed || position.has_later_era_than(before))
     }
 
     /// Takes a reading for the end of an outage where it lacks most of the targets.
--- a/crates/policy/src/position.rs
+++ b/crates/policy/src/position.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether this position's era is later than the other's.
-    pub const fn is_after(self, other: Self) -> bool {
+    pub const fn has_later_era_than(self, other: Self) -> bool {
         self.era > other.era
     }
 }
--- a/crates/policy/tests/position.rs
+++ b/crates/policy/tests/position.rs
@@ -5,11 +5,14 @@
 
 /// Guards against a reused revision being taken for the newer one.
 #[test]
-fn eras_go_before_revisions() {
+fn positions_order_by_era_then_revision() {
     let positions = [(0, 7), (0, 900), (1, 3), (1, 4), (2, 0)];
     let positions = positions.map(|(era, revision)| Position::new(era, revision));
     assert!(positions.is_sorted());
-    assert!(positions[2].is_after(positions[1]) && !positions[3].is_after(positions[2]));
+    assert!(
+        positions[2].has_later_era_than(positions[1])
+            && !positions[3].has_later_era_than(positions[2])
+    );
 }
 
 #[parameterized(
@@ -20,7 +23,7 @@
     three_parts = { "1.2.3", None },
     empty = { "", None },
 )]
-fn a_position_is_read_as_it_is_written(text: &str, read: Option<(u64, u64)>) {
+fn position_round_trips_through_text(text: &str, read: Option<(u64, u64)>) {
     let read = read.map(|(era, revision)| Position::new(era, revision));
     assert_eq!(text.parse::<Position>().ok(), read);
     if let Some(position) = read {
@@ -31,7 +34,7 @@
 /// Guards against positions that entries of an older release, which know revisions only, cannot
 /// decode.
 #[test]
-fn a_plain_revision_is_one_of_the_first_era() {
+fn plain_revision_decodes_as_era_zero() {
     let read = |json: &str| serde_json::from_str::<Position>(json).expect("a position");
     assert_eq!(read("17"), Position::new(0, 17));
     let written = |position: Position| serde_json::to_string(&position).expect("JSON");
