--- a/crates/policy/src/handle.rs
+++ b/crates/policy/src/handle.rs
@@ -18,7 +18,7 @@
 
 const PURPOSE: &str = "resume";
 const SEPARATOR: char = '~';
-const FIELDS: usize = 7;
+const FIELD_COUNT: usize = 7;
 
 /// The contents of a handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -80,7 +80,8 @@
         text: &str,
     ) -> Result<Self, HandleError> {
         let fields: Vec<&str> = text.split(SEPARATOR).collect();
-        let Some((code, fields)) = fields.split_last().filter(|_| fields.len() == FIELDS) else {
+        let Some((code, fields)) = fields.split_last().filter(|_| fields.len() == FIELD_COUNT)
+        else {
             return Err(HandleError::Forged);
         };
         // Prevents a caller from reading another caller's stream by naming its generation: the code
@@ -98,7 +99,7 @@
         Ok(handle)
     }
 
-    fn fields(&self) -> [SmolStr; FIELDS - 1] {
+    fn fields(&self) -> [SmolStr; FIELD_COUNT - 1] {
         [
             smol_str::format_smolstr!("{}", self.generation),
             self.target.as_str().into(),
--- a/crates/policy/src/id.rs
+++ b/crates/policy/src/id.rs
@@ -10,7 +10,7 @@
 use smol_str::SmolStr;
 
 /// The longest name in bytes; it bounds the size of gossip frames and log lines.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Why a text is not a valid name.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
@@ -20,28 +20,28 @@
     Empty,
     /// The name is longer than [`MAX_NAME_BYTES`].
     #[display("name has {length} bytes; shorten it to at most 64")]
-    Long {
+    TooLong {
         /// The length found, in bytes.
         length: usize,
     },
     /// The name holds a character outside the permitted set.
     #[display("name holds {found:?}; use only a-z, 0-9, '-', '_' and '.'")]
-    Character {
+    InvalidCharacter {
         /// The first character that is not permitted.
         found: char,
     },
 }
 
-fn checked(text: &str) -> Result<SmolStr, NameError> {
+fn validate(text: &str) -> Result<SmolStr, NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
-    if text.len() > MAX_NAME {
-        return Err(NameError::Long { length: text.len() });
+    if text.len() > MAX_NAME_BYTES {
+        return Err(NameError::TooLong { length: text.len() });
     }
     let permitted = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
     match text.chars().find(|c| !permitted(*c)) {
-        Some(found) => Err(NameError::Character { found }),
+        Some(found) => Err(NameError::InvalidCharacter { found }),
         None => Ok(SmolStr::new(text)),
     }
 }
@@ -66,7 +66,7 @@
             type Err = NameError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
-                checked(text).map(Self)
+                validate(text).map(Self)
             }
         }
 
@@ -74,7 +74,7 @@
             type Error = NameError;
 
             fn try_from(text: SmolStr) -> Result<Self, Self::Error> {
-                checked(&text).map(Self)
+                validate(&text).map(Self)
             }
         }
 
@@ -101,7 +101,7 @@
     Model,
 }
 
-macro_rules! numbers {
+macro_rules! random_ids {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
         $(#[$doc])*
         #[derive(
@@ -129,18 +129,18 @@
         }
 
         impl FromStr for $name {
-            type Err = NumberError;
+            type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
-                parsed(text).map(Self)
+                parse_hex(text).map(Self)
             }
         }
 
         impl TryFrom<SmolStr> for $name {
-            type Error = NumberError;
+            type Error = IdError;
 
             fn try_from(text: SmolStr) -> Result<Self, Self::Error> {
-                parsed(&text).map(Self)
+                parse_hex(&text).map(Self)
             }
         }
 
@@ -155,17 +155,17 @@
 /// A text that is not a 128-bit id.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("id is not 32 hexadecimal digits; pass it on exactly as it was received")]
-pub struct NumberError;
+pub struct IdError;
 
-fn parsed(text: &str) -> Result<u128, NumberError> {
+fn parse_hex(text: &str) -> Result<u128, IdError> {
     let plain = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
     if !plain {
-        return Err(NumberError);
+        return Err(IdError);
     }
-    u128::from_str_radix(text, 16).map_err(|_| NumberError)
+    u128::from_str_radix(text, 16).map_err(|_| IdError)
 }
 
-numbers! {
+random_ids! {
     /// One request as one entry sees it; every log line of the request has it.
     Request,
     /// One generation: the stream id that the entry chose for one attempt at one engine.
--- a/crates/policy/src/mac.rs
+++ b/crates/policy/src/mac.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 
 /// Bytes of a code; half of SHA-256's output is the usual truncation (RFC 2104, section 5).
-const LENGTH: usize = 16;
+const CODE_BYTES: usize = 16;
 
 /// The key shared by all entries of one fleet.
 #[derive(Clone, Debug)]
@@ -25,12 +25,12 @@
     /// valid for another, and bytes cannot be moved from one part to the next.
     pub fn sign(&self, purpose: &str, parts: &[&str]) -> String {
         let bytes = self.mac(purpose, parts).finalize().into_bytes();
-        bytes[..LENGTH].iter().map(|byte| format!("{byte:02x}")).collect()
+        bytes[..CODE_BYTES].iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
     /// Whether `code` is the code over `parts`, compared in constant time.
     pub fn verify(&self, purpose: &str, parts: &[&str], code: &str) -> bool {
-        let Some(bytes) = decoded(code) else { return false };
+        let Some(bytes) = decode_hex(code) else { return false };
         self.mac(purpose, parts).verify_truncated_left(&bytes).is_ok()
     }
 
@@ -46,11 +46,11 @@
     }
 }
 
-fn decoded(code: &str) -> Option<[u8; LENGTH]> {
-    if code.len() != 2 * LENGTH || !code.bytes().all(|b| b.is_ascii_hexdigit()) {
+fn decode_hex(code: &str) -> Option<[u8; CODE_BYTES]> {
+    if code.len() != 2 * CODE_BYTES || !code.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
     }
-    let mut bytes = [0; LENGTH];
+    let mut bytes = [0; CODE_BYTES];
     for (index, byte) in bytes.iter_mut().enumerate() {
         *byte = u8::from_str_radix(&code[2 * index..2 * index + 2], 16).ok()?;
     }
