--- a/crates/bench/src/baselines.rs
+++ b/crates/bench/src/baselines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Outcome, Reason, Refusal, Report, Verdict};
+use fireflyhoist_policy::gate::{Outcome, Reason, Refusal, Report, Request, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
 use rand::Rng;
@@ -36,7 +36,7 @@
 
     fn report(&mut self, _now: Time, _target: &id::Target, _report: &Report, _age: Duration) {}
 
-    fn offer(&mut self, _now: Time, _rng: &mut ChaCha8Rng, ask: Ask) -> Verdict {
+    fn offer(&mut self, _now: Time, _rng: &mut ChaCha8Rng, ask: Request) -> Verdict {
         for _ in 0..2 {
             self.next = self.next.wrapping_add(1);
             let at = self.next % self.targets.len().max(1);
@@ -79,7 +79,7 @@
         }
     }
 
-    fn offer(&mut self, _now: Time, rng: &mut ChaCha8Rng, ask: Ask) -> Verdict {
+    fn offer(&mut self, _now: Time, rng: &mut ChaCha8Rng, ask: Request) -> Verdict {
         let usable = || self.targets.iter().filter(|(t, _)| Some(t) != ask.avoid.as_ref());
         let Some(least) = usable().map(|(_, load)| *load).min() else { return refuse() };
         let ties: Vec<&id::Target> =
--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use fireflyhoist_policy::gate::{Ask, Class, Gate, Outcome, Report, Settings, Verdict};
+use fireflyhoist_policy::gate::{Class, Gate, Outcome, Report, Request, Settings, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::placement::{CHOICES_LAGGED, Candidate, choose};
 use fireflyhoist_policy::time::Time;
@@ -132,9 +132,9 @@
     gate
 }
 
-fn ask(now: Time, request: usize, workspace: usize) -> Ask {
-    Ask {
-        request: id::Request::new(request as u128),
+fn ask(now: Time, request: usize, workspace: usize) -> Request {
+    Request {
+        id: id::Request::new(request as u128),
         workspace: format_smolstr!("workspace-{workspace:04}").try_into().expect("a valid name"),
         class: Class::Overnight,
         prompt: Tokens::new(500),
@@ -142,7 +142,7 @@
         prefix: workspace as u64 + 1,
         objective: now + Duration::from_secs(30),
         deadline: now + Duration::from_secs(30),
-        repeat: false,
+        retry: false,
         avoid: None,
     }
 }
--- a/crates/bench/src/ours.rs
+++ b/crates/bench/src/ours.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Gate, Outcome, Report, Verdict};
+use fireflyhoist_policy::gate::{Gate, Outcome, Report, Request, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
@@ -30,7 +30,7 @@
         self.0.report(now, target, report, age);
     }
 
-    fn offer(&mut self, now: Time, rng: &mut ChaCha8Rng, ask: Ask) -> Verdict {
+    fn offer(&mut self, now: Time, rng: &mut ChaCha8Rng, ask: Request) -> Verdict {
         self.0.offer(now, rng, ask)
     }
 
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Outcome, Report, Verdict};
+use fireflyhoist_policy::gate::{Outcome, Report, Request, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
@@ -17,7 +17,7 @@
     fn report(&mut self, now: Time, target: &id::Target, report: &Report, age: Duration);
 
     /// Decides on a request.
-    fn offer(&mut self, now: Time, rng: &mut ChaCha8Rng, ask: Ask) -> Verdict;
+    fn offer(&mut self, now: Time, rng: &mut ChaCha8Rng, ask: Request) -> Verdict;
 
     /// Learns how far a request has come.
     fn progress(&mut self, _now: Time, _request: id::Request, _produced: Tokens) {}
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Class, Outcome, Report, Verdict};
+use fireflyhoist_policy::gate::{Class, Outcome, Report, Request, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
@@ -394,9 +394,9 @@
     id::Request::new(at as u128)
 }
 
-fn ask(at: usize, arrival: &Arrival, avoid: Option<id::Target>) -> Ask {
-    Ask {
-        request: request(at),
+fn ask(at: usize, arrival: &Arrival, avoid: Option<id::Target>) -> Request {
+    Request {
+        id: request(at),
         workspace: format_smolstr!("w{}", arrival.workspace).try_into().expect("a valid name"),
         class: arrival.class,
         prompt: Tokens::new(arrival.prompt),
@@ -404,7 +404,7 @@
         prefix: arrival.prefix,
         objective: arrival.at + arrival.patience,
         deadline: arrival.at + arrival.patience,
-        repeat: avoid.is_some(),
+        retry: avoid.is_some(),
         avoid,
     }
 }
--- a/crates/daemon/src/connection/engine.rs
+++ b/crates/daemon/src/connection/engine.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use fireflyhoist_policy::failover::Break;
+use fireflyhoist_policy::failover::Failure;
 use fireflyhoist_policy::id;
 use fireflyhoist_wire::engine::{READER_HEADER, Start};
 use ntex::client::{Client, ClientRequest, ClientResponse};
@@ -37,14 +37,14 @@
         site: &Site,
         start: &Start,
         patience: Duration,
-    ) -> Result<Self, Break> {
+    ) -> Result<Self, Failure> {
         let request = request(client, Method::POST, site, "/v1/streams");
         let response = sent(request.send_json(start), patience).await?;
         match response.status() {
             status if status.is_success() => Ok(Self { payload: response.take_payload() }),
-            StatusCode::SERVICE_UNAVAILABLE => Err(Break::Declined),
-            status if status.is_client_error() => Err(Break::Declined),
-            _ => Err(Break::Lost),
+            StatusCode::SERVICE_UNAVAILABLE => Err(Failure::Declined),
+            status if status.is_client_error() => Err(Failure::Declined),
+            _ => Err(Failure::Lost),
         }
     }
 
@@ -54,23 +54,23 @@
         site: &Site,
         from: u64,
         patience: Duration,
-    ) -> Result<Self, Break> {
+    ) -> Result<Self, Failure> {
         let path = format!("/v1/streams/{}?from={from}", site.generation);
         let request = request(client, Method::GET, site, &path);
         let response = sent(request.send(), patience).await?;
         match response.status() {
             status if status.is_success() => Ok(Self { payload: response.take_payload() }),
             // Too busy to answer is no reason to give up a generation that it may still run.
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(Break::Cut),
-            _ => Err(Break::Lost),
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(Failure::Cut),
+            _ => Err(Failure::Lost),
         }
     }
 
     /// The next bytes; the end of the connection counts as a cut, since the end mark is an event.
-    pub(crate) async fn read(&mut self) -> Result<Bytes, Break> {
+    pub(crate) async fn read(&mut self) -> Result<Bytes, Failure> {
         match stream_recv(&mut self.payload).await {
             Some(Ok(bytes)) => Ok(bytes),
-            Some(Err(_)) | None => Err(Break::Cut),
+            Some(Err(_)) | None => Err(Failure::Cut),
         }
     }
 }
@@ -83,12 +83,12 @@
 async fn sent(
     send: impl Future<Output = Result<ClientResponse, ntex::client::error::ClientError>>,
     patience: Duration,
-) -> Result<ClientResponse, Break> {
+) -> Result<ClientResponse, Failure> {
     match timeout(patience, send).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(error)) if unwritten(&error) => Err(Break::Refused),
-        Ok(Err(_)) => Err(Break::Cut),
-        Err(()) => Err(Break::Silent),
+        Ok(Err(error)) if unwritten(&error) => Err(Failure::Refused),
+        Ok(Err(_)) => Err(Failure::Cut),
+        Err(()) => Err(Failure::Silent),
     }
 }
 
--- a/crates/daemon/src/process/tickets.rs
+++ b/crates/daemon/src/process/tickets.rs
@@ -1,7 +1,7 @@
 //! The tickets of this process and the ledger of those that were used.
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::idempotency::{Claim, Ledger, MAX_ENTRIES, Result};
+use fireflyhoist_policy::idempotency::{Claim, MAX_ENTRIES, Outcome, Store};
 use fireflyhoist_policy::ticket::{LIFETIME, Ticket};
 use ntex::util::Bytes;
 use parking_lot::Mutex;
@@ -21,13 +21,13 @@
     clock: Clock,
     host: id::Host,
     instance: id::Instance,
-    ledger: Mutex<Ledger<Kept>>,
+    ledger: Mutex<Store<Kept>>,
 }
 
 impl Tickets {
     pub(crate) fn open(clock: Clock, host: id::Host) -> Self {
         let instance = id::Instance::new(rand::random());
-        Self { clock, host, instance, ledger: Mutex::new(Ledger::open(MAX_ENTRIES)) }
+        Self { clock, host, instance, ledger: Mutex::new(Store::open(MAX_ENTRIES)) }
     }
 
     pub(crate) fn issue(&self) -> Ticket {
@@ -51,7 +51,7 @@
     }
 
     pub(crate) fn knows(&self, ticket: &Ticket) -> bool {
-        self.ledger.lock().knows(ticket.sequence)
+        self.ledger.lock().contains(ticket.sequence)
     }
 
     pub(crate) fn claim(&self, ticket: &Ticket, call: u64) -> Claim<Kept> {
@@ -62,7 +62,7 @@
         self.ledger.lock().release(ticket.sequence);
     }
 
-    pub(crate) fn settle(&self, ticket: &Ticket, result: Result<Kept>, bytes: usize) {
-        self.ledger.lock().settle(ticket.sequence, result, bytes);
+    pub(crate) fn settle(&self, ticket: &Ticket, result: Outcome<Kept>, bytes: usize) {
+        self.ledger.lock().complete(ticket.sequence, result, bytes);
     }
 }
--- a/crates/daemon/src/request/completion.rs
+++ b/crates/daemon/src/request/completion.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fireflyhoist_policy::failover::{Session, Terms};
-use fireflyhoist_policy::gate::{Ask, Refusal};
+use fireflyhoist_policy::failover::{Options, Session};
+use fireflyhoist_policy::gate::{Refusal, Request};
 use fireflyhoist_policy::handle::Handle;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::placement;
@@ -115,7 +115,7 @@
             Err(response) => return response,
         };
         let clock = self.worker.process.clock;
-        let beat = (job.terms.silence / BEATS).clamp(BEAT.0, BEAT.1);
+        let beat = (job.terms.silence_timeout / BEATS).clamp(BEAT.0, BEAT.1);
         let (outlet, reply) = Outlet::open(clock, form, beat);
         let relay = Relay {
             worker: self.worker.clone(),
@@ -147,8 +147,8 @@
         let gap = Duration::from_millis(self.service.objective.between_tokens_ms);
         let max_tokens = completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         Job {
-            ask: Ask {
-                request: id::Request::new(rand::random()),
+            ask: Request {
+                id: id::Request::new(rand::random()),
                 workspace,
                 class: self.service.class,
                 prompt: Tokens::new(completion.prompt.len() as u64 / BYTES_PER_TOKEN),
@@ -156,16 +156,16 @@
                 prefix: placement::prefix(&completion.prompt),
                 objective: self.worker.process.clock.now() + patience,
                 deadline: self.worker.process.clock.now() + patience,
-                repeat: false,
+                retry: false,
                 avoid: None,
             },
             service: self.service.name.clone(),
             patience,
-            terms: Terms {
-                whole: self.service.delivery == Delivery::Whole || !completion.stream,
-                restarts: accepts(self.http.headers(), "restart"),
-                silence: (gap * SILENT_GAPS).clamp(SILENCE.0, SILENCE.1),
-                stall: patience,
+            terms: Options {
+                buffered: self.service.delivery == Delivery::Whole || !completion.stream,
+                restartable: accepts(self.http.headers(), "restart"),
+                silence_timeout: (gap * SILENT_GAPS).clamp(SILENCE.0, SILENCE.1),
+                stall_timeout: patience,
             },
             start: Start {
                 generation: id::Generation::new(0),
@@ -181,12 +181,12 @@
         let target = self.service.targets.iter().find(|t| t.name == *pass.target())?;
         let generation = id::Generation::new(rand::random());
         Some(Attempt {
-            site: Site { address: target.address, generation, reader: job.ask.request },
+            site: Site { address: target.address, generation, reader: job.ask.id },
             target: target.name.clone(),
             pass: Some(pass),
             known: false,
             told: false,
-            way: Transcoder::open(generation, 0, job.terms.whole),
+            way: Transcoder::open(generation, 0, job.terms.buffered),
         })
     }
 
@@ -209,17 +209,17 @@
         // The text may have given the target a new address since; the generation runs at the old.
         let generation = handle.generation;
         log::info!(
-            request:% = job.ask.request, generation:% = generation, target:% = handle.target,
+            request:% = job.ask.id, generation:% = generation, target:% = handle.target,
             offset = from, version:% = self.snapshot.version;
             "answer taken up"
         );
         let attempt = Attempt {
-            site: Site { address: handle.address, generation, reader: job.ask.request },
+            site: Site { address: handle.address, generation, reader: job.ask.id },
             target: handle.target,
             pass: None,
             known: true,
             told: false,
-            way: Transcoder::open(generation, from, job.terms.whole),
+            way: Transcoder::open(generation, from, job.terms.buffered),
         };
         Ok(Some((attempt, from > 0)))
     }
--- a/crates/daemon/src/request/plain/mod.rs
+++ b/crates/daemon/src/request/plain/mod.rs
@@ -10,7 +10,7 @@
 
 use std::rc::Rc;
 
-use fireflyhoist_policy::gate::Ask;
+use fireflyhoist_policy::gate::Request;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_text::{Kind, Service};
@@ -69,9 +69,9 @@
     matches!(*method, Method::GET | Method::HEAD | Method::OPTIONS)
 }
 
-fn ask(worker: &Worker, service: &Service, message: &Message) -> Ask {
-    Ask {
-        request: message.request,
+fn ask(worker: &Worker, service: &Service, message: &Message) -> Request {
+    Request {
+        id: message.request,
         workspace: message.workspace.clone(),
         class: service.class,
         prompt: Tokens::default(),
@@ -79,7 +79,7 @@
         prefix: 0,
         objective: worker.process.clock.now() + message::patience(service),
         deadline: worker.process.clock.now() + message::patience(service),
-        repeat: false,
+        retry: false,
         avoid: None,
     }
 }
--- a/crates/daemon/src/request/plain/repeatable.rs
+++ b/crates/daemon/src/request/plain/repeatable.rs
@@ -73,7 +73,7 @@
         };
         let target = pass.target().clone();
         ask.avoid = Some(target.clone());
-        ask.repeat = true;
+        ask.retry = true;
         match try_once(worker, service, message, &body, attempt, &target).await {
             Ok(response) => {
                 watch.answered();
--- a/crates/daemon/src/request/plain/ticketed.rs
+++ b/crates/daemon/src/request/plain/ticketed.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use fireflyhoist_policy::gate::Outcome;
-use fireflyhoist_policy::idempotency::{Claim, Result as Ending};
+use fireflyhoist_policy::idempotency::{Claim, Outcome as Ending};
 use fireflyhoist_policy::ticket::{LIFETIME, Ticket};
 use fireflyhoist_text::{Kind, Service};
 use fireflyhoist_wire::caller::{Purpose, REPLAYED_HEADER, REQUEST_HEADER, Ticket as Issued};
@@ -108,7 +108,7 @@
             return refuse::respond(&refuse::already_ran(status));
         }
         Claim::Ran(Ending::Replied { status, reply: Some(kept) }) => return replay(status, kept),
-        Claim::Crossed => return refuse::respond(&refuse::crossed_ticket()),
+        Claim::Mismatch => return refuse::respond(&refuse::crossed_ticket()),
         Claim::Expired => return refuse::respond(&refuse::expired_ticket()),
         Claim::Full => return refuse::respond(&refuse::ledger_full()),
     }
@@ -213,7 +213,7 @@
             let admitted = lane.admit(ask.clone()).await;
             let pass = admitted.map_err(|refusal| refuse::refusal(refusal, Ran::No))?;
             ask.avoid = Some(pass.target().clone());
-            ask.repeat = true;
+            ask.retry = true;
             let Some(address) = address(service, pass.target()) else { continue };
             // Guards against a second write: a pooled connection may die between two calls, which
             // looks the same as dying after it carried this one. A connection of its own leaves
--- a/crates/daemon/src/request/relay.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fireflyhoist_policy::failover::{Break, Session, Step, Terms};
-use fireflyhoist_policy::gate::{Ask, Outcome, Refusal};
+use fireflyhoist_policy::failover::{Failure, Options, Session, Step};
+use fireflyhoist_policy::gate::{Outcome, Refusal, Request};
 use fireflyhoist_policy::handle::{Handle, LIFETIME_S};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
@@ -45,10 +45,10 @@
 /// What does not change over the course of one answer.
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub(crate) ask: Ask,
+    pub(crate) ask: Request,
     pub(crate) service: id::Service,
     pub(crate) patience: Duration,
-    pub(crate) terms: Terms,
+    pub(crate) terms: Options,
     pub(crate) start: Start,
 }
 
@@ -84,7 +84,7 @@
 /// Why a stream stopped before its end.
 enum Stop {
     Gone,
-    Broken(Break),
+    Broken(Failure),
 }
 
 impl From<Gone> for Stop {
@@ -104,7 +104,7 @@
 impl Relay {
     pub(crate) async fn run(mut self) {
         let end = self.serve().await;
-        let request = self.job.ask.request;
+        let request = self.job.ask.id;
         match end {
             End::Whole => log::info!(request:% = request; "answer whole"),
             End::Gone => {
@@ -137,9 +137,9 @@
                 Err(Stop::Gone) => return End::Gone,
                 Err(Stop::Broken(kind)) => kind,
             };
-            let step = self.session.break_off(self.now(), kind);
+            let step = self.session.fail(self.now(), kind);
             log::info!(
-                request:% = self.job.ask.request, generation:% = self.attempt.site.generation,
+                request:% = self.job.ask.id, generation:% = self.attempt.site.generation,
                 target:% = self.attempt.target, offset = self.attempt.way.next().offset,
                 cause:% = kind, step:? = step;
                 "stream broke"
@@ -166,7 +166,7 @@
     /// Reads the present generation over one link, to its end if nothing breaks.
     async fn stream(&mut self) -> Result<(), Stop> {
         let mut link = self.link().await?;
-        self.session.link(self.now());
+        self.session.mark_accepted(self.now());
         self.attempt.known = true;
         if !std::mem::replace(&mut self.attempt.told, true) {
             let head = self.head();
@@ -175,14 +175,14 @@
         let mut noted = self.attempt.way.next().offset;
         loop {
             let read = self.outlet.until(self.session.deadline(), link.read()).await?;
-            let bytes = read.unwrap_or(Err(Break::Silent)).map_err(Stop::Broken)?;
+            let bytes = read.unwrap_or(Err(Failure::Silent)).map_err(Stop::Broken)?;
             let before = self.attempt.way.next().offset;
             let mut out = Vec::with_capacity(2 * bytes.len());
             let progress = self.attempt.way.feed(&bytes, &mut out);
-            let progress = progress.map_err(|_| Stop::Broken(Break::Malformed))?;
-            self.session.hear(self.now(), progress.taken > 0);
+            let progress = progress.map_err(|_| Stop::Broken(Failure::Malformed))?;
+            self.session.receive(self.now(), progress.taken > 0);
             if self.attempt.way.held() > MAX_HELD {
-                return Err(Stop::Broken(Break::Malformed));
+                return Err(Stop::Broken(Failure::Malformed));
             }
             if !out.is_empty() {
                 self.outlet.send(out).await?;
@@ -214,7 +214,7 @@
         self.session.connect(self.now());
         let client = self.worker.client.clone();
         let Attempt { site, way, known, .. } = &self.attempt;
-        let patience = self.job.terms.silence;
+        let patience = self.job.terms.silence_timeout;
         let opened = match *known {
             true => {
                 let from = way.next().offset;
@@ -227,8 +227,8 @@
         };
         self.attempt.way.relink();
         opened?.map_err(|kind| {
-            if !matches!(kind, Break::Refused | Break::Declined) {
-                self.session.reach();
+            if !matches!(kind, Failure::Refused | Failure::Declined) {
+                self.session.mark_reached();
             }
             Stop::Broken(kind)
         })
@@ -257,7 +257,7 @@
             workspace: self.job.ask.workspace.clone(),
             expires_s: crate::process::clock::unix_s() + LIFETIME_S,
         };
-        Head { request: self.job.ask.request, handle: handle.write(&self.worker.process.key) }
+        Head { request: self.job.ask.id, handle: handle.write(&self.worker.process.key) }
     }
 
     /// Moves to a fresh generation at another engine.
@@ -268,7 +268,7 @@
         loop {
             let mut ask = self.job.ask.clone();
             ask.avoid = Some(self.attempt.target.clone());
-            ask.repeat = true;
+            ask.retry = true;
             ask.deadline = until;
             let Ok(admitted) = self.outlet.wait(self.lane.admit(ask)).await else {
                 return Ok(Err(Gone));
@@ -282,7 +282,7 @@
             };
             // A whole answer outlasts a budget that is spent and targets that come back: its
             // caller reads it the next day. Anybody else is told at once.
-            if !self.job.terms.whole || self.now() >= until {
+            if !self.job.terms.buffered || self.now() >= until {
                 return Err(refusal);
             }
             let nap = refusal.retry_after.min(MAX_ASK_AGAIN);
@@ -300,12 +300,12 @@
         let Some(target) = target else { return false };
         let generation = id::Generation::new(rand::random());
         self.attempt = Attempt {
-            site: Site { address: target.address, generation, reader: self.job.ask.request },
+            site: Site { address: target.address, generation, reader: self.job.ask.id },
             target: target.name.clone(),
             pass: Some(pass),
             known: false,
             told: false,
-            way: Transcoder::open(generation, 0, self.job.terms.whole),
+            way: Transcoder::open(generation, 0, self.job.terms.buffered),
         };
         self.session.begin(self.now());
         true
--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -8,7 +8,7 @@
 
 use fireflyhoist_policy::exclusion::Exclusion;
 use fireflyhoist_policy::gate::{
-    Ask, Gate, Grounds, Holding, Outcome, Reason, Refusal, Report, Settings, Verdict,
+    Gate, Holding, Outcome, Placement, Reason, Refusal, Report, Request, Settings, Verdict,
 };
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::newcomer::Order;
@@ -145,8 +145,8 @@
     }
 
     /// Waits for the gate's decision and returns a pass to the target that it chose.
-    pub async fn admit(self: &Arc<Self>, ask: Ask) -> Result<Pass, Refusal> {
-        let request = ask.request;
+    pub async fn admit(self: &Arc<Self>, ask: Request) -> Result<Pass, Refusal> {
+        let request = ask.id;
         let (verdict, waiter) = {
             let mut state = self.state.lock();
             let verdict = state.gate.offer(self.clock.now(), &mut rand::rng(), ask);
@@ -265,7 +265,7 @@
     }
 
     /// What decided for the target; see [`Gate::grounds`].
-    pub fn grounds(&self) -> Option<Grounds> {
+    pub fn grounds(&self) -> Option<Placement> {
         self.lane.state.lock().gate.grounds(self.request)
     }
 
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::comeback::Print;
-use fireflyhoist_policy::gate::Ask;
+use fireflyhoist_policy::gate;
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::request::Class;
 use fireflyhoist_policy::route::{Kind, Route, Service, Table};
@@ -103,15 +103,15 @@
     }
 
     /// What the gate is asked for the first attempt.
-    pub(crate) fn ask(&self, avoid: Option<id::Target>, repeat: bool) -> Ask {
+    pub(crate) fn ask(&self, avoid: Option<id::Target>, repeat: bool) -> gate::Request {
         let workspace = self.workspace.clone().unwrap_or_else(nobody);
         let class = if carry::is_long(self) { Class::Overnight } else { Class::Live };
         let (class, limit) = match self.route.kind.is_stream() && self.service.engine.is_some() {
             true => (class, self.facts.limit),
             false => (Class::Lookup, Default::default()),
         };
-        Ask {
-            request: id::Request::new(rand::random()),
+        gate::Request {
+            id: id::Request::new(rand::random()),
             workspace,
             class,
             prompt: self.facts.prompt,
@@ -120,7 +120,7 @@
             objective: self.objective,
             deadline: self.begin_by,
             avoid,
-            repeat,
+            retry: repeat,
         }
     }
 
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -194,7 +194,7 @@
     let target = pass.target().clone();
     let result = fetch::<P>(worker, inquiry, &target).await;
     let outcome = match &result {
-        Ok(whole) if whole.status.is_server_error() => Outcome::Faulty,
+        Ok(whole) if whole.status.is_server_error() => Outcome::ServerError,
         Ok(_) => Outcome::Whole,
         Err(ended) => ended.outcome(),
     };
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -5,7 +5,7 @@
 
 use fireflyhoist_policy::gate::{Outcome, Refusal};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::shutdown::{self, Choice, Situation};
+use fireflyhoist_policy::shutdown::{self, Decision, State};
 use ntex::http::{Response, StatusCode};
 use ntex::time::timeout;
 
@@ -55,10 +55,15 @@
 fn sent_away(worker: &Worker, inquiry: &Inquiry) -> Option<Duration> {
     let (since, left) = worker.process.leaving()?;
     let others = worker.fleet.has_others();
-    let situation = Situation { others, since, left, fresh: entries::TTL };
-    match shutdown::choose(&situation, carry::expected(inquiry)) {
-        Choice::Serve => None,
-        Choice::ComeBack(after) => Some(after),
+    let situation = State {
+        peers_accept: others,
+        draining_for: since,
+        remaining: left,
+        address_ttl: entries::TTL,
+    };
+    match shutdown::decide(&situation, carry::expected(inquiry)) {
+        Decision::Serve => None,
+        Decision::RetryAfter(after) => Some(after),
     }
 }
 
@@ -191,7 +196,7 @@
         let Begun { response, sent } = begun;
         let failed = response.status.is_server_error();
         let listed = self.worker.process.target(pass.target());
-        pass.finish(if failed { Outcome::Faulty } else { Outcome::Whole });
+        pass.finish(if failed { Outcome::ServerError } else { Outcome::Whole });
         let body = response.whole(MAX_ANSWER).await.map_err(|_| {
             if let Some(target) = &listed {
                 broken::Run::of(self.worker, &self.inquiry, target, *sent).spawn();
--- a/crates/policy/src/curve.rs
+++ b/crates/policy/src/curve.rs
@@ -1,6 +1,6 @@
 //! Memory that running answers are expected to hold in the near future.
 
-use crate::length::Law;
+use crate::length::Distribution;
 
 /// How far ahead the curve looks, in tokens that each running answer produces meanwhile. The last
 /// steps are wide, since only the highest point counts and it comes early.
@@ -21,7 +21,7 @@
 
 impl Curve {
     /// The curve of one answer: what it would hold then, times the chance that it still runs.
-    pub fn of(law: &Law, prompt: u64, produced: u64, limit: u64) -> Self {
+    pub fn of(law: &Distribution, prompt: u64, produced: u64, limit: u64) -> Self {
         let known = law.survival(produced.max(1)).max(f32::MIN_POSITIVE);
         let mut curve = Self::default();
         for (at, ahead) in AHEAD.into_iter().enumerate() {
--- a/crates/policy/src/failover.rs
+++ b/crates/policy/src/failover.rs
@@ -14,31 +14,31 @@
 ///
 /// Three retries outlast a lost packet and a restarted switch port. An engine that is gone refuses
 /// all of them or times out within [`RETRY_DELAYS`] and three silence timeouts.
-const MAX_TRIES: u32 = 3;
+const MAX_RETRIES: u32 = 3;
 
 /// The delay before each retry; the first is immediate since most failures affect one connection.
-const DELAYS: [Duration; 3] =
+const RETRY_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(50), Duration::from_millis(200)];
 
 /// The most doublings of the silence timeout for an engine that answers but produces nothing.
-const MAX_DOUBLINGS: u32 = 4;
+const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
 
 /// What the service and the caller have configured for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Options {
     /// Whether the answer is held at the entry until it is complete.
-    pub whole: bool,
+    pub buffered: bool,
     /// Whether the caller supports restarts: it discards what it has received on a restart event.
-    pub restarts: bool,
+    pub restartable: bool,
     /// How long a link may bring no bytes before it counts as silent.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// How long an engine that still answers may produce no token before it counts as failed.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
 }
 
 /// How a stream from an engine failed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
-pub enum Break {
+pub enum Failure {
     /// No connection could be opened, so nothing was written.
     #[display("refused")]
     Refused,
@@ -79,45 +79,45 @@
 /// The recovery state of one answer.
 #[derive(Clone, Debug)]
 pub struct Session {
-    terms: Terms,
-    shown: bool,
+    options: Options,
+    delivered: bool,
     reached: bool,
-    linked: bool,
-    tries: u32,
-    idle: u32,
-    progressed: Time,
-    heard: Time,
+    accepted: bool,
+    retries: u32,
+    silent_links: u32,
+    last_progress: Time,
+    last_received: Time,
 }
 
 impl Session {
     /// Creates the state of an answer; `delivered` says whether the caller already has tokens of
     /// this generation.
-    pub fn open(now: Time, terms: Terms, shown: bool) -> Self {
+    pub fn open(now: Time, options: Options, delivered: bool) -> Self {
         Self {
-            terms,
-            shown,
+            options,
+            delivered,
             reached: false,
-            linked: false,
-            tries: 0,
-            idle: 0,
-            progressed: now,
-            heard: now,
+            accepted: false,
+            retries: 0,
+            silent_links: 0,
+            last_progress: now,
+            last_received: now,
         }
     }
 
     /// Records that a new generation starts, of which the caller has received nothing.
     pub fn begin(&mut self, now: Time) {
-        *self = Self { reached: self.reached, ..Self::open(now, self.terms, false) };
+        *self = Self { reached: self.reached, ..Self::open(now, self.options, false) };
     }
 
     /// Records that a connection to an engine is about to be opened.
     pub fn connect(&mut self, now: Time) {
-        self.linked = false;
-        self.heard = now;
+        self.accepted = false;
+        self.last_received = now;
     }
 
     /// Records that the request may have reached an engine.
-    pub fn reach(&mut self) {
+    pub fn mark_reached(&mut self) {
         self.reached = true;
     }
 
@@ -127,43 +127,45 @@
     }
 
     /// Records that the engine confirmed that it has the generation.
-    pub fn link(&mut self, now: Time) {
+    pub fn mark_accepted(&mut self, now: Time) {
         self.reached = true;
-        self.linked = true;
-        self.heard = now;
+        self.accepted = true;
+        self.last_received = now;
     }
 
     /// Records that bytes arrived; `progress` says whether they contained tokens of the answer.
-    pub fn hear(&mut self, now: Time, progress: bool) {
-        self.heard = now;
+    pub fn receive(&mut self, now: Time, progress: bool) {
+        self.last_received = now;
         if progress {
-            self.progressed = now;
-            self.tries = 0;
-            self.idle = 0;
+            self.last_progress = now;
+            self.retries = 0;
+            self.silent_links = 0;
             // The caller has not received what is held at the entry.
-            self.shown |= !self.terms.whole;
+            self.delivered |= !self.options.buffered;
         }
     }
 
     /// Returns when the current link counts as silent.
     pub fn deadline(&self) -> Time {
-        self.heard + self.terms.silence * 2u32.pow(self.idle.min(MAX_DOUBLINGS))
+        self.last_received
+            + self.options.silence_timeout * 2u32.pow(self.silent_links.min(MAX_TIMEOUT_DOUBLINGS))
     }
 
     /// Decides on a stream that failed.
-    pub fn break_off(&mut self, now: Time, kind: Break) -> Step {
-        let dead = match kind {
-            Break::Declined | Break::Lost | Break::Malformed => true,
+    pub fn fail(&mut self, now: Time, failure: Failure) -> Step {
+        let abandon = match failure {
+            Failure::Declined | Failure::Lost | Failure::Malformed => true,
             // No engine was ever reached, so none can be running the generation; use another one.
-            Break::Refused if !self.reached && !self.shown => true,
-            Break::Refused | Break::Cut | Break::Silent => {
-                now.since(self.progressed) >= self.terms.stall || !self.try_again(kind)
+            Failure::Refused if !self.reached && !self.delivered => true,
+            Failure::Refused | Failure::Cut | Failure::Silent => {
+                now.since(self.last_progress) >= self.options.stall_timeout
+                    || !self.count_retry(failure)
             }
         };
-        match dead {
-            false => Step::Resume { after: self.wait() },
-            true if !self.shown => Step::Elsewhere,
-            true if self.terms.restarts => Step::Restart,
+        match abandon {
+            false => Step::Resume { after: self.retry_delay() },
+            true if !self.delivered => Step::Elsewhere,
+            true if self.options.restartable => Step::Restart,
             // Prevents spliced answers: once a token has been delivered, tokens of a second
             // generation would contradict it.
             true => Step::Interrupt,
@@ -172,17 +174,17 @@
 
     /// Counts a retry, unless the engine proved alive by answering over this link. Returns whether
     /// another attempt at the same engine is allowed.
-    fn try_again(&mut self, kind: Break) -> bool {
-        if kind == Break::Silent && self.linked {
-            self.idle += 1;
+    fn count_retry(&mut self, failure: Failure) -> bool {
+        if failure == Failure::Silent && self.accepted {
+            self.silent_links += 1;
             return true;
         }
-        self.tries += 1;
-        self.tries <= MAX_TRIES
+        self.retries += 1;
+        self.retries <= MAX_RETRIES
     }
 
-    fn wait(&self) -> Duration {
-        let index = self.tries.saturating_sub(1) as usize;
-        DELAYS[index.min(DELAYS.len() - 1)]
+    fn retry_delay(&self) -> Duration {
+        let index = self.retries.saturating_sub(1) as usize;
+        RETRY_DELAYS[index.min(RETRY_DELAYS.len() - 1)]
     }
 }
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -19,12 +19,12 @@
 use crate::drain::Drain;
 use crate::id;
 use crate::late;
-use crate::length::{Book, Mark};
+use crate::length::{Predictor, Progress};
 use crate::newcomer::Order;
 use crate::outlier::{Detector, Ejection, Sample};
 use crate::placement::Candidate;
 use crate::queue::{BOUND, Item, Queue};
-pub use crate::request::{Ask, Class, Grounds, Outcome, Reason, Refusal, Report, Verdict};
+pub use crate::request::{Class, Outcome, Placement, Reason, Refusal, Report, Request, Verdict};
 use crate::retry;
 use crate::slot::Slot;
 use crate::time::Time;
@@ -62,9 +62,9 @@
 #[derive(Debug)]
 struct Running {
     slot: usize,
-    ask: Ask,
+    ask: Request,
     curve: Curve,
-    mark: Mark,
+    mark: Progress,
     /// Work counted to its workspace so far.
     work: f64,
     produced: u64,
@@ -74,7 +74,7 @@
     /// Tokens, and when, at the latest sample of its engine's speed.
     judged: (u64, Time),
     /// Why its target was chosen.
-    grounds: Grounds,
+    grounds: Placement,
 }
 
 /// Decides for one service.
@@ -88,7 +88,7 @@
     running: HashMap<id::Request, Running>,
     queue: Queue,
     drain: Drain,
-    book: Book,
+    book: Predictor,
     usage: Usage,
     /// The sum of all running answers' curves.
     all: Curve,
@@ -128,7 +128,7 @@
             running: HashMap::new(),
             queue,
             drain: Drain::default(),
-            book: Book::open(),
+            book: Predictor::open(),
             usage: Usage::default(),
             all: Curve::default(),
             fresh: Curve::default(),
@@ -161,10 +161,10 @@
     }
 
     /// Decides on a new request, or on a further attempt of one that failed before its answer.
-    pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Ask) -> Verdict {
+    pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Request) -> Verdict {
         self.weigh(now);
         self.drain.pass(now, !self.queue.is_empty());
-        let again = ask.repeat;
+        let again = ask.retry;
         if let Some(verdict) = self.without_targets(rng) {
             return verdict;
         }
@@ -196,10 +196,10 @@
     }
 
     /// The same request, among the late ones where it can't begin on time any more.
-    fn classed(&self, now: Time, ask: Ask) -> Ask {
+    fn classed(&self, now: Time, ask: Request) -> Request {
         let late = self.settings.late && ask.objective < now + START;
         let class = if late { Class::Spare } else { ask.class };
-        Ask { class, ..ask }
+        Request { class, ..ask }
     }
 
     /// Whether a running request may be begun anew elsewhere; draws on the retry budget.
@@ -208,7 +208,7 @@
     }
 
     /// What decided where a running request was sent.
-    pub fn grounds(&self, request: id::Request) -> Option<Grounds> {
+    pub fn grounds(&self, request: id::Request) -> Option<Placement> {
         self.running.get(&request).map(|running| running.grounds)
     }
 
@@ -296,7 +296,7 @@
                 slot.pause(now);
                 self.detector.record(now, &slot.name, Sample::Failed);
             }
-            Outcome::Faulty => self.detector.record(now, &slot.name, Sample::Failed),
+            Outcome::ServerError => self.detector.record(now, &slot.name, Sample::Failed),
             Outcome::Cancelled => {}
         }
     }
@@ -314,12 +314,12 @@
             && let Some(verdict) = self.without_targets(rng)
         {
             let waiting = self.queue.drain();
-            return waiting.into_iter().map(|item| (item.ask.request, verdict.clone())).collect();
+            return waiting.into_iter().map(|item| (item.ask.id, verdict.clone())).collect();
         }
         for item in self.queue.expire(now) {
             let wait = self.drain.wait(self.queue.ahead(item.ask.class, &item.ask.workspace, 0.0));
             let verdict = refuse(rng, Reason::Deadline, wait.unwrap_or(RETRY.0));
-            decided.push((item.ask.request, verdict));
+            decided.push((item.ask.id, verdict));
         }
         while let Some((request, verdict)) = self.serve_next(now, rng) {
             decided.push((request, verdict));
@@ -328,7 +328,7 @@
             for item in self.queue.outstayed(now, START, late::LINGER) {
                 let retry_after = late::come_back(rng);
                 let refusal = Refusal { reason: Reason::Late, retry_after };
-                decided.push((item.ask.request, Verdict::Refuse(refusal)));
+                decided.push((item.ask.id, Verdict::Refuse(refusal)));
             }
         }
         decided
@@ -342,7 +342,7 @@
             if let Some(at) = self.place(now, rng, &ask, &curve) {
                 let item = self.queue.pop(now, class, &workspace)?;
                 self.drain.take(item.work);
-                return Some((ask.request, self.send(now, at, item.ask, item.work)));
+                return Some((ask.id, self.send(now, at, item.ask, item.work)));
             }
         }
         None
@@ -368,24 +368,30 @@
         self.queue.next_deadline()
     }
 
-    fn work(&self, ask: &Ask) -> f64 {
-        let expected = self.book.law(&ask.workspace).expected(0, ask.limit.get());
+    fn work(&self, ask: &Request) -> f64 {
+        let expected = self.book.distribution(&ask.workspace).expected(0, ask.limit.get());
         PROMPT_WORK * ask.prompt.get() as f64 + f64::from(expected)
     }
 
-    fn curve(&self, ask: &Ask, produced: u64) -> Curve {
+    fn curve(&self, ask: &Request, produced: u64) -> Curve {
         let (prompt, limit) = (ask.prompt.get(), ask.limit.get().min(self.largest));
         if is_lookup(ask) {
             return Curve::default();
         }
         match self.settings.length {
-            true => Curve::of(self.book.law(&ask.workspace), prompt, produced, limit),
+            true => Curve::of(self.book.distribution(&ask.workspace), prompt, produced, limit),
             false => Curve::reserved(prompt, limit),
         }
     }
 
     /// Says no at once where the answer would not begin in time.
-    fn refusal(&mut self, now: Time, rng: &mut impl Rng, ask: &Ask, work: f64) -> Option<Verdict> {
+    fn refusal(
+        &mut self,
+        now: Time,
+        rng: &mut impl Rng,
+        ask: &Request,
+        work: f64,
+    ) -> Option<Verdict> {
         let ahead = self.queue.ahead(ask.class, &ask.workspace, work);
         let own = self.queue.own_wait(now, ask.class, &ask.workspace, work);
         let wait = self.drain.wait(ahead).max(own).map(|wait| wait.mul_f64(CAUTION) + START);
@@ -398,7 +404,7 @@
         Some(refuse(rng, Reason::Deadline, late - patience))
     }
 
-    fn note_prompt(&mut self, ask: &Ask) {
+    fn note_prompt(&mut self, ask: &Request) {
         let prompt = ask.prompt.get() as f64;
         if is_lookup(ask) {
             return;
@@ -407,11 +413,11 @@
         self.ordinary += (prompt - self.ordinary) * part;
     }
 
-    fn send(&mut self, now: Time, at: usize, ask: Ask, work: f64) -> Verdict {
+    fn send(&mut self, now: Time, at: usize, ask: Request, work: f64) -> Verdict {
         let curve = self.curve(&ask, 0);
         self.note_prompt(&ask);
         let slot = &mut self.slots[at];
-        let grounds = Grounds {
+        let grounds = Placement {
             load: slot.room.load(),
             streams: slot.room.all_streams(),
             unread: Tokens::new(slot.waiting()),
@@ -428,7 +434,7 @@
         self.usage.add(&ask.workspace, f64::from(curve.now()));
         self.queue.charge(&ask.workspace, work);
         let mark = self.book.begin(&ask.workspace);
-        let request = ask.request;
+        let request = ask.id;
         let running = Running {
             slot: at,
             ask,
@@ -447,7 +453,7 @@
     }
 }
 
-fn is_lookup(ask: &Ask) -> bool {
+fn is_lookup(ask: &Request) -> bool {
     ask.class == Class::Lookup || ask.limit == Tokens::default()
 }
 
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -9,7 +9,7 @@
 use crate::id;
 use crate::late;
 use crate::placement::{self, Candidate};
-use crate::request::{Ask, Class};
+use crate::request::{Class, Request};
 use crate::slot::Slot;
 use crate::time::Time;
 
@@ -70,7 +70,7 @@
         &mut self,
         now: Time,
         rng: &mut impl Rng,
-        ask: &Ask,
+        ask: &Request,
     ) -> Option<usize> {
         let sends = self.sends;
         self.collect(|slot| {
@@ -98,7 +98,7 @@
         &mut self,
         now: Time,
         rng: &mut impl Rng,
-        ask: &Ask,
+        ask: &Request,
         curve: &Curve,
     ) -> Option<usize> {
         let settings = self.settings.clone();
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -18,11 +18,11 @@
 pub const MAX_BYTES: usize = 8 << 20;
 
 /// The largest reply that is kept, in bytes; of larger ones only the status is.
-pub const MAX_REPLY: usize = 16 << 10;
+pub const MAX_REPLY_BYTES: usize = 16 << 10;
 
 /// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Result<R> {
+pub enum Outcome<R> {
     /// The target replied.
     Replied {
         /// The HTTP status.
@@ -42,9 +42,9 @@
     /// The call is running.
     Running,
     /// The call has run.
-    Ran(Result<R>),
+    Ran(Outcome<R>),
     /// The ticket was used for another call.
-    Crossed,
+    Mismatch,
     /// The ticket has expired, and whether it was used may no longer be known.
     Expired,
     /// The store is full, so the call must not run.
@@ -54,15 +54,15 @@
 #[derive(Clone, Debug)]
 struct Entry<R> {
     /// A digest of the call, so that a ticket is not accepted for two calls.
-    call: u64,
+    call_digest: u64,
     expires: Time,
     bytes: usize,
-    result: Option<Result<R>>,
+    outcome: Option<Outcome<R>>,
 }
 
 /// The used tickets of one process.
 #[derive(Clone, Debug)]
-pub struct Ledger<R> {
+pub struct Store<R> {
     issued: u64,
     entries: BTreeMap<u64, Entry<R>>,
     expiries: BTreeSet<(Time, u64)>,
@@ -70,7 +70,7 @@
     max_entries: usize,
 }
 
-impl<R: Clone> Ledger<R> {
+impl<R: Clone> Store<R> {
     /// Creates a store that keeps at most `max_entries` tickets, such as [`MAX_ENTRIES`].
     pub fn open(max_entries: usize) -> Self {
         Self {
@@ -93,28 +93,28 @@
         // Prevents a second run after the entry is evicted: expiry is checked against this
         // process's own clock, which does not go back, and always before the entry is evicted.
         if ticket.expires <= now {
-            self.sweep(now);
+            self.evict_expired(now);
             return Claim::Expired;
         }
         if let Some(entry) = self.entries.get(&ticket.sequence) {
-            return match &entry.result {
-                _ if entry.call != call => Claim::Crossed,
+            return match &entry.outcome {
+                _ if entry.call_digest != call => Claim::Mismatch,
                 None => Claim::Running,
-                Some(result) => Claim::Ran(result.clone()),
+                Some(outcome) => Claim::Ran(outcome.clone()),
             };
         }
-        self.sweep(now);
+        self.evict_expired(now);
         if self.entries.len() >= self.max_entries {
             return Claim::Full;
         }
-        let entry = Entry { call, expires: ticket.expires, bytes: 0, result: None };
+        let entry = Entry { call_digest: call, expires: ticket.expires, bytes: 0, outcome: None };
         self.expiries.insert((entry.expires, ticket.sequence));
         self.entries.insert(ticket.sequence, entry);
         Claim::Run
     }
 
     /// Whether the ticket has been used.
-    pub fn knows(&self, sequence: u64) -> bool {
+    pub fn contains(&self, sequence: u64) -> bool {
         self.entries.contains_key(&sequence)
     }
 
@@ -127,18 +127,18 @@
     }
 
     /// Records the outcome of a claimed call; `bytes` is the size of the reply.
-    pub fn settle(&mut self, sequence: u64, result: Result<R>, bytes: usize) {
-        let fits = bytes <= MAX_REPLY && self.bytes + bytes <= MAX_BYTES;
+    pub fn complete(&mut self, sequence: u64, outcome: Outcome<R>, bytes: usize) {
+        let fits = bytes <= MAX_REPLY_BYTES && self.bytes + bytes <= MAX_BYTES;
         // An entry that expired while its call ran is gone; its ticket is answered as expired.
         let Some(entry) = self.entries.get_mut(&sequence) else { return };
-        entry.result = Some(match result {
-            Result::Replied { status, reply: Some(_) } if !fits => {
-                Result::Replied { status, reply: None }
+        entry.outcome = Some(match outcome {
+            Outcome::Replied { status, reply: Some(_) } if !fits => {
+                Outcome::Replied { status, reply: None }
             }
-            result => {
+            outcome => {
                 entry.bytes = bytes;
                 self.bytes += bytes;
-                result
+                outcome
             }
         });
     }
@@ -153,7 +153,7 @@
         self.entries.is_empty()
     }
 
-    fn sweep(&mut self, now: Time) {
+    fn evict_expired(&mut self, now: Time) {
         while let Some((expires, sequence)) = self.expiries.first().copied() {
             if expires > now {
                 return;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -15,7 +15,7 @@
 
 use crate::drain::Drain;
 use crate::id;
-use crate::request::{Ask, Class};
+use crate::request::{Class, Request};
 use crate::time::Time;
 
 /// The most requests that wait at one gate; a request takes about 300 bytes.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Item {
     /// What was asked.
-    pub ask: Ask,
+    pub ask: Request,
     /// Its predicted work in tokens.
     pub work: f64,
 }
@@ -117,7 +117,7 @@
     pub fn push(&mut self, now: Time, item: Item, front: bool) {
         let workspace = item.ask.workspace.clone();
         let place = Place { class: item.ask.class, workspace: workspace.clone(), since: now };
-        self.places.insert(item.ask.request, place);
+        self.places.insert(item.ask.id, place);
         // An idle workspace saves up no claim on the past.
         let account = self.accounts.entry(workspace.clone()).or_default();
         let flows = self.classes.entry(item.ask.class).or_default();
@@ -201,7 +201,7 @@
         let flow = flows.get_mut(workspace)?;
         let item = flow.items.remove(at)?;
         flow.work = (flow.work - item.work).max(0.0);
-        self.places.remove(&item.ask.request);
+        self.places.remove(&item.ask.id);
         if flow.items.is_empty() {
             flows.remove(workspace);
             self.forget(workspace);
@@ -220,7 +220,7 @@
     pub fn remove(&mut self, request: id::Request) -> Option<Item> {
         let Place { class, workspace, .. } = self.places.get(&request)?.clone();
         let flow = self.classes.get(&class)?.get(&workspace)?;
-        let at = flow.items.iter().position(|item| item.ask.request == request)?;
+        let at = flow.items.iter().position(|item| item.ask.id == request)?;
         self.take(class, &workspace, at)
     }
 
@@ -239,7 +239,7 @@
             }
             let items = flows.values().flat_map(|flow| &flow.items);
             let passed = items.filter(|item| item.ask.objective < now + lead);
-            late.extend(passed.map(|item| item.ask.request));
+            late.extend(passed.map(|item| item.ask.id));
         }
         for request in late {
             let since = self.places.get(&request).map_or(now, |place| place.since);
@@ -256,12 +256,12 @@
     pub fn outstayed(&mut self, now: Time, lead: Duration, linger: Duration) -> Vec<Item> {
         let spare = self.classes.get(&Class::Spare).into_iter().flat_map(BTreeMap::values);
         let over = |item: &&Item| {
-            let place = self.places.get(&item.ask.request);
+            let place = self.places.get(&item.ask.id);
             let came_late = place.is_some_and(|p| item.ask.objective < p.since + lead);
             !came_late && item.ask.objective + linger < now + lead
         };
         let over: Vec<id::Request> =
-            spare.flat_map(|flow| &flow.items).filter(over).map(|item| item.ask.request).collect();
+            spare.flat_map(|flow| &flow.items).filter(over).map(|item| item.ask.id).collect();
         over.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -43,9 +43,9 @@
 
 /// One request for admission.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
     /// The request's id, unique in this process.
-    pub request: id::Request,
+    pub id: id::Request,
     /// The workspace that the request belongs to.
     pub workspace: id::Workspace,
     /// The latency class.
@@ -63,7 +63,7 @@
     /// A target that just failed this request and should not be tried next.
     pub avoid: Option<id::Target>,
     /// Whether an earlier attempt reached a target, so that this one draws on the retry budget.
-    pub repeat: bool,
+    pub retry: bool,
 }
 
 /// The load that a target last reported.
@@ -123,7 +123,7 @@
 
 /// The estimated load of the chosen target when a generation was placed, without that generation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Grounds {
+pub struct Placement {
     /// The fraction of the target's KV cache in use.
     pub load: f64,
     /// Generations that ran or were queued there.
@@ -155,7 +155,7 @@
     /// The target failed, refused or vanished.
     Failed,
     /// The target answered with a server error, which says little about the next request.
-    Faulty,
+    ServerError,
     /// The caller gave up.
     Cancelled,
 }
--- a/crates/policy/src/sequencer.rs
+++ b/crates/policy/src/sequencer.rs
@@ -47,11 +47,11 @@
 
 /// Accepts each token of one generation once and in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sink {
+pub struct Sequencer {
     next: Position,
 }
 
-impl Sink {
+impl Sequencer {
     /// Creates a sequencer that expects the token at offset `from` of `generation` first.
     pub fn open(generation: id::Generation, from: u64) -> Self {
         Self { next: Position { generation, offset: from } }
@@ -64,7 +64,7 @@
 
     /// Whether the token at `position` is the next one; if so, the following position is expected
     /// from now on.
-    pub fn take(&mut self, position: Position) -> bool {
+    pub fn accept(&mut self, position: Position) -> bool {
         // Prevents duplicated tokens and tokens of another stream, which would show as repeated or
         // foreign lines: only the one expected position is accepted.
         if position != self.next {
@@ -78,7 +78,7 @@
     ///
     /// An end mark that arrives before the last token, or that counts fewer tokens than were
     /// accepted, belongs to another stream; accepting it would silently truncate the answer.
-    pub fn ends(&self, tokens: u64) -> bool {
+    pub fn is_end(&self, tokens: u64) -> bool {
         tokens == self.next.offset
     }
 }
--- a/crates/policy/tests/carry.rs
+++ b/crates/policy/tests/carry.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Gate, Outcome, Report, Settings, Verdict};
+use fireflyhoist_policy::gate::{Gate, Outcome, Report, Request, Settings, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::request::Class;
 use fireflyhoist_policy::time::Time;
@@ -17,9 +17,9 @@
     range.map(|n| format!("e-{n}").parse().expect("name")).collect()
 }
 
-fn ask(request: u128) -> Ask {
-    Ask {
-        request: id::Request::new(request),
+fn ask(request: u128) -> Request {
+    Request {
+        id: id::Request::new(request),
         workspace: "w".parse().expect("name"),
         class: Class::Live,
         prompt: Tokens::new(3_000),
@@ -27,7 +27,7 @@
         prefix: 0,
         objective: Time::ZERO + Duration::from_secs(40),
         deadline: Time::ZERO + Duration::from_secs(40),
-        repeat: false,
+        retry: false,
         avoid: None,
     }
 }
--- a/crates/policy/tests/cordoned.rs
+++ b/crates/policy/tests/cordoned.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::exclusion::Exclusion;
-use fireflyhoist_policy::gate::{Ask, Class, Gate, Outcome, Reason, Report, Settings, Verdict};
+use fireflyhoist_policy::gate::{Class, Gate, Outcome, Reason, Report, Request, Settings, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::time::Time;
@@ -55,9 +55,9 @@
     gate
 }
 
-fn ask(request: u128, now: Time) -> Ask {
-    Ask {
-        request: id::Request::new(request),
+fn ask(request: u128, now: Time) -> Request {
+    Request {
+        id: id::Request::new(request),
         workspace: "w".parse().expect("a name"),
         class: Class::Live,
         prompt: Tokens::new(PROMPT),
@@ -65,7 +65,7 @@
         prefix: 0,
         objective: now + OBJECTIVE,
         deadline: now + PATIENCE,
-        repeat: false,
+        retry: false,
         avoid: None,
     }
 }
@@ -174,10 +174,10 @@
     let request = id::Request::new(1);
     assert!(gate.refuges(at(0), &mut rng, request, &BTreeSet::new(), None).is_empty());
     assert!(gate.refuges(at(0), &mut rng, request, &BTreeSet::new(), Some(0.5)).is_empty());
-    let repeat = Ask { avoid: Some(engine(0)), repeat: true, ..ask(2, at(0)) };
+    let repeat = Request { avoid: Some(engine(0)), retry: true, ..ask(2, at(0)) };
     assert_eq!(gate.offer(at(0), &mut rng, repeat), Verdict::Wait);
-    let lookup = Ask { class: Class::Lookup, limit: Tokens::default(), ..ask(3, at(0)) };
-    let lookup = Ask { avoid: Some(engine(0)), ..lookup };
+    let lookup = Request { class: Class::Lookup, limit: Tokens::default(), ..ask(3, at(0)) };
+    let lookup = Request { avoid: Some(engine(0)), ..lookup };
     assert_eq!(gate.offer(at(0), &mut rng, lookup), Verdict::Send(engine(0)));
     assert_eq!(gate.exclusions(at(0)), BTreeMap::from([(Exclusion::Cordoned, ENGINES - 1)]));
     // The last one as well: nothing waits for a place that does not come.
--- a/crates/policy/tests/gate.rs
+++ b/crates/policy/tests/gate.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::exclusion::Exclusion;
-use fireflyhoist_policy::gate::{Ask, Class, Gate, Outcome, Reason, Report, Settings, Verdict};
+use fireflyhoist_policy::gate::{Class, Gate, Outcome, Reason, Report, Request, Settings, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
@@ -16,9 +16,9 @@
     format!("t{number}").parse().expect("a name")
 }
 
-fn ask(number: u128, workspace: &str, class: Class, now: Time) -> Ask {
-    Ask {
-        request: id::Request::new(number),
+fn ask(number: u128, workspace: &str, class: Class, now: Time) -> Request {
+    Request {
+        id: id::Request::new(number),
         workspace: workspace.parse().expect("a name"),
         class,
         prompt: Tokens::new(200),
@@ -26,7 +26,7 @@
         prefix: 0,
         objective: now + Duration::from_secs(5),
         deadline: now + Duration::from_secs(5),
-        repeat: false,
+        retry: false,
         avoid: None,
     }
 }
@@ -113,7 +113,7 @@
                     let class = if live { Class::Live } else { Class::Overnight };
                     let ask = ask(asked, &format!("w{workspace}"), class, now);
                     asked += 1;
-                    let request = ask.request;
+                    let request = ask.id;
                     let verdict = gate.offer(now, &mut rng, ask);
                     if verdict != Verdict::Wait {
                         told.insert(request, verdict);
@@ -160,7 +160,11 @@
     for number in 0..60 {
         let avoided = failed.take();
         let repeat = avoided.is_some();
-        let first = Ask { avoid: avoided.clone(), repeat, ..ask(number, "w", Class::Lookup, now) };
+        let first = Request {
+            avoid: avoided.clone(),
+            retry: repeat,
+            ..ask(number, "w", Class::Lookup, now)
+        };
         let verdict = gate.offer(now, &mut rng, first);
         let Verdict::Send(at) = verdict else { continue };
         assert_ne!(Some(&at), avoided.as_ref());
@@ -183,7 +187,7 @@
     for number in 0..20 {
         let verdict = gate.offer(now, &mut rng, ask(number, "w", Class::Lookup, now));
         let Verdict::Send(at) = verdict else { panic!("{verdict:?}") };
-        let outcome = if number == 0 { Outcome::Faulty } else { Outcome::Whole };
+        let outcome = if number == 0 { Outcome::ServerError } else { Outcome::Whole };
         seen.insert(at);
         gate.finish(now, id::Request::new(number), outcome);
     }
@@ -200,7 +204,7 @@
     gate.set_targets(Time::ZERO, (0..3).map(target).collect());
     let now = Time::ZERO + Duration::from_secs(1);
     for number in 0..100 {
-        let next = Ask { avoid: Some(target(0)), ..ask(number, "w", Class::Lookup, now) };
+        let next = Request { avoid: Some(target(0)), ..ask(number, "w", Class::Lookup, now) };
         let verdict = gate.offer(now, &mut rng, next);
         assert!(matches!(verdict, Verdict::Send(_)), "{number}: {verdict:?}");
         gate.finish(now, id::Request::new(number), Outcome::Cancelled);
--- a/crates/policy/tests/late.rs
+++ b/crates/policy/tests/late.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Class, Gate, Outcome, Reason, Report, Settings, Verdict};
+use fireflyhoist_policy::gate::{Class, Gate, Outcome, Reason, Report, Request, Settings, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
@@ -31,9 +31,9 @@
     format!("e-{n}").parse().expect("a name")
 }
 
-fn ask(request: u128, now: Time, wanted: Time) -> Ask {
-    Ask {
-        request: id::Request::new(request),
+fn ask(request: u128, now: Time, wanted: Time) -> Request {
+    Request {
+        id: id::Request::new(request),
         workspace: "w".parse().expect("a name"),
         class: Class::Overnight,
         prompt: Tokens::new(PROMPT),
@@ -41,7 +41,7 @@
         prefix: 0,
         objective: wanted + OBJECTIVE,
         deadline: now + SILENCE,
-        repeat: false,
+        retry: false,
         avoid: None,
     }
 }
--- a/crates/policy/tests/length.rs
+++ b/crates/policy/tests/length.rs
@@ -2,64 +2,69 @@
 
 use fireflyhoist_policy::curve::Curve;
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::length::Book;
+use fireflyhoist_policy::length::Predictor;
 
 fn workspace(name: &str) -> id::Workspace {
     name.parse().expect("a name")
 }
 
-fn learn(book: &mut Book, name: &str, length: u64, times: usize) {
+fn record_answers(predictor: &mut Predictor, name: &str, length: u64, times: usize) {
     for _ in 0..times {
-        let mark = book.begin(&workspace(name));
-        book.end(&workspace(name), mark, length);
+        let progress = predictor.begin(&workspace(name));
+        predictor.end(&workspace(name), progress, length);
     }
 }
 
 #[test]
-fn a_workspace_is_predicted_by_its_own_answers() {
-    let mut book = Book::open();
-    learn(&mut book, "lines", 50, 200);
-    learn(&mut book, "registers", 4_000, 200);
-    let expected = |name| book.law(&workspace(name)).expected(0, 65_536);
+fn workspace_prediction_follows_its_own_answers() {
+    let mut predictor = Predictor::open();
+    record_answers(&mut predictor, "lines", 50, 200);
+    record_answers(&mut predictor, "registers", 4_000, 200);
+    let expected = |name| predictor.distribution(&workspace(name)).expected(0, 65_536);
     assert!((30.0..120.0).contains(&expected("lines")), "{}", expected("lines"));
     assert!((2_500.0..6_000.0).contains(&expected("registers")), "{}", expected("registers"));
 }
 
 #[test]
-fn what_has_been_produced_is_taken_into_account() {
-    let mut book = Book::open();
-    learn(&mut book, "mixed", 50, 150);
-    learn(&mut book, "mixed", 4_000, 50);
-    let law = book.law(&workspace("mixed"));
-    assert!(law.expected(0, 65_536) < 2_000.0);
-    assert!(law.expected(200, 65_536) > 2_500.0, "one past 50 is a long one");
-    assert!(law.expected(200, 300) <= 300.0, "no answer passes its limit");
+fn expected_length_accounts_for_produced_tokens() {
+    let mut predictor = Predictor::open();
+    record_answers(&mut predictor, "mixed", 50, 150);
+    record_answers(&mut predictor, "mixed", 4_000, 50);
+    let distribution = predictor.distribution(&workspace("mixed"));
+    assert!(distribution.expected(0, 65_536) < 2_000.0);
+    assert!(distribution.expected(200, 65_536) > 2_500.0, "an answer past 50 tokens is a long one");
+    assert!(distribution.expected(200, 300) <= 300.0, "the limit bounds the length");
 }
 
 /// Long answers end last. If only ended answers counted, a recently started process would predict
 /// short answers only and overload every engine.
 #[test]
-fn long_answers_that_still_run_are_not_forgotten() {
-    let mut book = Book::open();
+fn running_long_answers_count_as_survivors() {
+    let mut predictor = Predictor::open();
     let name = workspace("pages");
     for _ in 0..100 {
-        let mut mark = book.begin(&name);
-        book.advance(&name, &mut mark, 3_000);
+        let mut progress = predictor.begin(&name);
+        predictor.advance(&name, &mut progress, 3_000);
     }
-    learn(&mut book, "pages", 50, 100);
-    assert!(book.law(&name).survival(1_000) > 0.35, "half of them run on");
+    record_answers(&mut predictor, "pages", 50, 100);
+    assert!(predictor.distribution(&name).survival(1_000) > 0.35, "half of them are still running");
 }
 
 #[test]
-fn long_answers_vary_more_than_many_short_ones_of_the_same_mean() {
-    let mut book = Book::open();
-    learn(&mut book, "even", 400, 300);
-    learn(&mut book, "wild", 50, 270);
-    learn(&mut book, "wild", 4_000, 30);
-    let spread = |name| {
-        let curve = Curve::of(book.law(&workspace(name)), 100, 0, 8_192);
+fn rare_long_answers_raise_the_variance_at_equal_mean() {
+    let mut predictor = Predictor::open();
+    record_answers(&mut predictor, "even", 400, 300);
+    record_answers(&mut predictor, "wild", 50, 270);
+    record_answers(&mut predictor, "wild", 4_000, 30);
+    let deviation = |name| {
+        let curve = Curve::of(predictor.distribution(&workspace(name)), 100, 0, 8_192);
         let none = Curve::default();
         Curve::peak_of([&curve, &none, &none], 3.0) - curve.peak()
     };
-    assert!(spread("wild") > 2.0 * spread("even"), "{} {}", spread("wild"), spread("even"));
+    assert!(
+        deviation("wild") > 2.0 * deviation("even"),
+        "{} {}",
+        deviation("wild"),
+        deviation("even")
+    );
 }
--- a/crates/policy/tests/newcomer.rs
+++ b/crates/policy/tests/newcomer.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Class, Gate, Report, Settings, Verdict};
+use fireflyhoist_policy::gate::{Class, Gate, Report, Request, Settings, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::placement::CHOICES_FRESH;
@@ -35,9 +35,9 @@
     (0..count).map(|n| format!("{prefix}-{n}")).collect()
 }
 
-fn ask(request: u128) -> Ask {
-    Ask {
-        request: id::Request::new(request),
+fn ask(request: u128) -> Request {
+    Request {
+        id: id::Request::new(request),
         workspace: "w".parse().expect("a name"),
         class: Class::Overnight,
         prompt: Tokens::new(PROMPT),
@@ -45,7 +45,7 @@
         prefix: 0,
         objective: Time::ZERO + Duration::from_secs(40),
         deadline: Time::ZERO + Duration::from_secs(40),
-        repeat: false,
+        retry: false,
         avoid: None,
     }
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Class};
+use fireflyhoist_policy::gate::{Class, Request};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::queue::{Item, Queue};
 use fireflyhoist_policy::time::Time;
@@ -10,8 +10,8 @@
 use proptest::prelude::*;
 
 fn item(number: u128, workspace: &str, class: Class, work: f64) -> Item {
-    let ask = Ask {
-        request: id::Request::new(number),
+    let ask = Request {
+        id: id::Request::new(number),
         workspace: workspace.parse().expect("a name"),
         class,
         prompt: Tokens::new(10),
@@ -19,7 +19,7 @@
         prefix: 0,
         objective: Time::ZERO + Duration::from_secs(60),
         deadline: Time::ZERO + Duration::from_secs(60),
-        repeat: false,
+        retry: false,
         avoid: None,
     };
     Item { ask, work }
@@ -41,7 +41,7 @@
     (0..1_000).for_each(|n| queue.push(Time::ZERO, item(n, "hot", Class::Live, 100.0), false));
     queue.push(Time::ZERO, item(5_000, "calm", Class::Live, 100.0), false);
     let order: Vec<Item> = std::iter::from_fn(|| next(&mut queue)).collect();
-    let place = order.iter().position(|i| i.ask.request == id::Request::new(5_000));
+    let place = order.iter().position(|i| i.ask.id == id::Request::new(5_000));
     assert!(place.expect("it is served") <= 1, "served as number {place:?}");
 }
 
--- a/crates/wire/src/transcode.rs
+++ b/crates/wire/src/transcode.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::sequencer::{Position, Sink};
+use fireflyhoist_policy::sequencer::{Position, Sequencer};
 
 use crate::engine::{End, RawToken};
 use crate::sse::{Decoder, StreamError, View};
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Transcoder {
     decoder: Decoder,
-    sink: Sink,
+    sink: Sequencer,
     piece: Piece,
     held: Option<Held>,
 }
@@ -49,7 +49,7 @@
     pub fn open(generation: id::Generation, from: u64, hold: bool) -> Self {
         Self {
             decoder: Decoder::open(MAX_EVENT),
-            sink: Sink::open(generation, from),
+            sink: Sequencer::open(generation, from),
             piece: Piece::open(generation),
             held: hold.then(|| Held { from, texts: Vec::new() }),
         }
@@ -80,12 +80,12 @@
                 return;
             }
             match Said::read(event, sink.next().generation) {
-                Some(Said::End(end)) if sink.ends(end.tokens) => {
+                Some(Said::End(end)) if sink.is_end(end.tokens) => {
                     progress.ended = true;
                     progress.preemptions = end.preemptions;
                 }
                 Some(Said::End(_)) | None => malformed = true,
-                Some(Said::Token(position, text)) if sink.take(position) => {
+                Some(Said::Token(position, text)) if sink.accept(position) => {
                     progress.taken += 1;
                     match held {
                         Some(held) => held.keep(text),
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -4,18 +4,18 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use fireflyhoist_policy::failover::{Break, Session, Step, Terms};
+use fireflyhoist_policy::failover::{Failure, Options, Session, Step};
 use fireflyhoist_policy::id::Generation;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_wire::transcode::Transcoder;
 
-const WHOLE: Terms = Terms { whole: true, ..LIVE };
-const RESTARTS: Terms = Terms { restarts: true, ..LIVE };
-const LIVE: Terms = Terms {
-    whole: false,
-    restarts: false,
-    silence: Duration::from_millis(100),
-    stall: Duration::from_secs(5),
+const WHOLE: Options = Options { buffered: true, ..LIVE };
+const RESTARTS: Options = Options { restartable: true, ..LIVE };
+const LIVE: Options = Options {
+    buffered: false,
+    restartable: false,
+    silence_timeout: Duration::from_millis(100),
+    stall_timeout: Duration::from_secs(5),
 };
 
 /// Time that each read of a link takes.
@@ -27,7 +27,7 @@
     /// It sends these bytes.
     Send(&'static str),
     /// It breaks.
-    Break(Break),
+    Break(Failure),
     /// It sends nothing until the session holds it to be silent.
     Hush,
 }
@@ -35,7 +35,7 @@
 /// One session as it is written to its golden file.
 struct Play {
     now: Time,
-    terms: Terms,
+    terms: Options,
     session: Session,
     way: Transcoder,
     generations: u128,
@@ -43,13 +43,13 @@
 }
 
 impl Play {
-    fn open(terms: Terms) -> Self {
+    fn open(terms: Options) -> Self {
         let now = Time::ZERO;
         Self {
             now,
             terms,
             session: Session::open(now, terms, false),
-            way: Transcoder::open(Generation::new(1), 0, terms.whole),
+            way: Transcoder::open(Generation::new(1), 0, terms.buffered),
             generations: 1,
             log: String::new(),
         }
@@ -59,7 +59,7 @@
     fn run(mut self, links: &[&[Act]]) -> String {
         for link in links {
             let Some(kind) = self.link(link) else { return self.log };
-            let step = self.session.break_off(self.now, kind);
+            let step = self.session.fail(self.now, kind);
             self.note(&format!("broken: {kind}; step: {step:?}"));
             match step {
                 Step::Resume { after } => self.now = self.now + after,
@@ -81,19 +81,19 @@
     fn fresh(&mut self) {
         self.generations += 1;
         let generation = Generation::new(self.generations);
-        self.way = Transcoder::open(generation, 0, self.terms.whole);
+        self.way = Transcoder::open(generation, 0, self.terms.buffered);
         self.session.begin(self.now);
     }
 
     /// Plays one link; returns how it broke, or `None` after the end of the answer.
-    fn link(&mut self, acts: &[Act]) -> Option<Break> {
+    fn link(&mut self, acts: &[Act]) -> Option<Failure> {
         self.session.connect(self.now);
         self.way.relink();
         let next = self.way.next();
         self.note(&format!("link for generation {} from {}", self.generations, next.offset));
         // An engine that breaks off at once has not answered that it has the generation.
         if !matches!(acts.first(), Some(Act::Break(_))) {
-            self.session.link(self.now);
+            self.session.mark_accepted(self.now);
         }
         for act in acts {
             match act {
@@ -105,20 +105,20 @@
                 Act::Break(kind) => return Some(*kind),
                 Act::Hush => {
                     self.now = self.session.deadline();
-                    return Some(Break::Silent);
+                    return Some(Failure::Silent);
                 }
             }
         }
-        Some(Break::Cut)
+        Some(Failure::Cut)
     }
 
-    fn send(&mut self, bytes: &str) -> Result<bool, Break> {
+    fn send(&mut self, bytes: &str) -> Result<bool, Failure> {
         self.now = self.now + READ;
         self.note(&format!("from engine: {bytes:?}"));
         let mut out = Vec::new();
         let fed = self.way.feed(bytes.as_bytes(), &mut out);
-        let progress = fed.map_err(|_| Break::Malformed)?;
-        self.session.hear(self.now, progress.taken > 0);
+        let progress = fed.map_err(|_| Failure::Malformed)?;
+        self.session.receive(self.now, progress.taken > 0);
         self.caller(&out);
         if progress.fallen > 0 {
             self.note(&format!("fell: {}", progress.fallen));
@@ -186,8 +186,8 @@
 /// must receive one whole page, none of it from the lost generation.
 #[test]
 fn a_whole_answer_begins_anew_when_its_engine_is_lost() {
-    let first = [Act::Send(ONE), Act::Send(TWO), Act::Break(Break::Cut)];
-    let gone = [Act::Break(Break::Lost)];
+    let first = [Act::Send(ONE), Act::Send(TWO), Act::Break(Failure::Cut)];
+    let gone = [Act::Break(Failure::Lost)];
     let second = [Act::Send(ONE), Act::Send(TWO), Act::Send(THREE), Act::Send(END)];
     insta::assert_snapshot!(Play::open(WHOLE).run(&[&first, &gone, &second]));
 }
@@ -196,14 +196,14 @@
 /// not follow, so the answer ends with a typed error.
 #[test]
 fn a_live_answer_that_was_shown_ends_typed_when_its_engine_is_lost() {
-    let first = [Act::Send(ONE), Act::Send(TWO), Act::Break(Break::Lost)];
+    let first = [Act::Send(ONE), Act::Send(TWO), Act::Break(Failure::Lost)];
     insta::assert_snapshot!(Play::open(LIVE).run(&[&first]));
 }
 
 /// The same for a caller that said that it understands a restart.
 #[test]
 fn a_live_answer_restarts_where_its_caller_allows_it() {
-    let first = [Act::Send(ONE), Act::Break(Break::Lost)];
+    let first = [Act::Send(ONE), Act::Break(Failure::Lost)];
     let second = [Act::Send(ONE), Act::Send(TWO), Act::Send(THREE), Act::Send(END)];
     insta::assert_snapshot!(Play::open(RESTARTS).run(&[&first, &second]));
 }
@@ -220,7 +220,7 @@
 /// An engine declines the generation: the attempt goes elsewhere and the caller notices nothing.
 #[test]
 fn an_engine_that_declines_is_left_for_another() {
-    let refused = [Act::Break(Break::Declined)];
+    let refused = [Act::Break(Failure::Declined)];
     let second = [Act::Send(ONE), Act::Send(TWO), Act::Send(THREE), Act::Send(END)];
     insta::assert_snapshot!(Play::open(LIVE).run(&[&refused, &second]));
 }
