--- a/crates/policy/src/cordon.rs
+++ b/crates/policy/src/cordon.rs
@@ -102,7 +102,7 @@
         if self.is_stale(position) {
             return false;
         }
-        let restored = self.position.is_some_and(|known| position.is_after(known));
+        let restored = self.position.is_some_and(|known| position.has_later_era_than(known));
         let mut new: BTreeMap<id::Domain, Option<Time>> =
             listed.into_iter().take(MAX_DOMAINS).map(|domain| (domain, None)).collect();
         for (domain, until) in &self.domains {
--- a/crates/policy/src/curve.rs
+++ b/crates/policy/src/curve.rs
@@ -1,6 +1,6 @@
 //! Predicted memory of running answers.
 
-use crate::length::Law;
+use crate::length::Distribution;
 
 /// Points of a curve, in tokens that each running answer produces until then. The last steps are
 /// wide, since only the highest point matters and it comes early.
@@ -22,7 +22,7 @@
 impl Curve {
     /// Returns the curve of one answer: at each step, what it would hold then, times the
     /// probability that it still runs.
-    pub fn of(law: &Law, prompt: u64, produced: u64, limit: u64) -> Self {
+    pub fn of(law: &Distribution, prompt: u64, produced: u64, limit: u64) -> Self {
         let survived = law.survival(produced.max(1)).max(f32::MIN_POSITIVE);
         let mut curve = Self::default();
         for (at, ahead) in STEPS_AHEAD.into_iter().enumerate() {
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -16,13 +16,13 @@
 
 use rand::Rng;
 
-pub use crate::ask::{Ask, Class, Grounds, Outcome, Reason, Refusal, Report, Verdict};
 use crate::curve::Curve;
 use crate::id;
-use crate::length::{Book, Mark};
+use crate::length::{Predictor, Progress};
 use crate::outlier::{Detector, Ejection, Sample};
 use crate::placement::Candidate;
 use crate::queue::{CAPACITY, Item, Queue};
+pub use crate::request::{Class, Outcome, Placement, Reason, Refusal, Report, Request, Verdict};
 use crate::retry;
 use crate::shedding;
 use crate::stagger::Order;
@@ -67,9 +67,9 @@
 #[derive(Debug)]
 struct Running {
     target: usize,
-    ask: Ask,
+    ask: Request,
     curve: Curve,
-    mark: Mark,
+    mark: Progress,
     /// Work charged to its workspace so far.
     work: f64,
     produced: u64,
@@ -79,7 +79,7 @@
     /// Tokens produced, and the time, at the latest latency sample of its engine.
     sampled: (u64, Time),
     /// State of its target when it was chosen.
-    grounds: Grounds,
+    grounds: Placement,
 }
 
 /// Decides on the requests of one service; see the [module](self).
@@ -93,7 +93,7 @@
     running: HashMap<id::Request, Running>,
     queue: Queue,
     drain: Meter,
-    lengths: Book,
+    lengths: Predictor,
     usage: Usage,
     /// Sum of the curves of all running answers.
     own: Curve,
@@ -134,7 +134,7 @@
             running: HashMap::new(),
             queue,
             drain: Meter::default(),
-            lengths: Book::open(),
+            lengths: Predictor::open(),
             usage: Usage::default(),
             own: Curve::default(),
             typical: Curve::default(),
@@ -167,10 +167,10 @@
     }
 
     /// Decides on a new request, or on a retry of one that failed before its answer began.
-    pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Ask) -> Verdict {
+    pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Request) -> Verdict {
         self.refresh_weights(now);
         self.drain.advance(now, !self.queue.is_empty());
-        let again = ask.repeat;
+        let again = ask.retry;
         if let Some(verdict) = self.refuse_without_targets(rng) {
             return verdict;
         }
@@ -202,10 +202,10 @@
     }
 
     /// Returns the request, moved to [`Class::Spare`] if it can no longer begin by its objective.
-    fn classify(&self, now: Time, ask: Ask) -> Ask {
+    fn classify(&self, now: Time, ask: Request) -> Request {
         let late = self.settings.shed_late && ask.objective < now + FIRST_TOKEN;
         let class = if late { Class::Spare } else { ask.class };
-        Ask { class, ..ask }
+        Request { class, ..ask }
     }
 
     /// Takes a retry from the budget for a running request that is to restart at another target;
@@ -215,7 +215,7 @@
     }
 
     /// State of the target of a running request at the time when it was chosen.
-    pub fn grounds(&self, request: id::Request) -> Option<Grounds> {
+    pub fn grounds(&self, request: id::Request) -> Option<Placement> {
         self.running.get(&request).map(|running| running.grounds)
     }
 
@@ -310,7 +310,7 @@
                 state.record_failure(now);
                 self.detector.record(now, &state.name, Sample::Failed);
             }
-            Outcome::Faulty => self.detector.record(now, &state.name, Sample::Failed),
+            Outcome::ServerError => self.detector.record(now, &state.name, Sample::Failed),
             Outcome::Cancelled => {}
         }
     }
@@ -328,13 +328,13 @@
             && let Some(verdict) = self.refuse_without_targets(rng)
         {
             let waiting = self.queue.drain();
-            return waiting.into_iter().map(|item| (item.ask.request, verdict.clone())).collect();
+            return waiting.into_iter().map(|item| (item.ask.id, verdict.clone())).collect();
         }
         for item in self.queue.expire(now) {
             let wait =
                 self.drain.wait(self.queue.work_ahead(item.ask.class, &item.ask.workspace, 0.0));
             let verdict = refuse(rng, Reason::Deadline, wait.unwrap_or(RETRY_AFTER.0));
-            decided.push((item.ask.request, verdict));
+            decided.push((item.ask.id, verdict));
         }
         while let Some((request, verdict)) = self.send_next(now, rng) {
             decided.push((request, verdict));
@@ -343,7 +343,7 @@
             for item in self.queue.shed(now, FIRST_TOKEN, shedding::MAX_WAIT) {
                 let retry_after = shedding::retry_after(rng);
                 let refusal = Refusal { reason: Reason::Late, retry_after };
-                decided.push((item.ask.request, Verdict::Refuse(refusal)));
+                decided.push((item.ask.id, Verdict::Refuse(refusal)));
             }
         }
         decided
@@ -357,7 +357,7 @@
             if let Some(at) = self.place(now, rng, &ask, &curve) {
                 let item = self.queue.pop(now, class, &workspace)?;
                 self.drain.record(item.work);
-                return Some((ask.request, self.send(now, at, item.ask, item.work)));
+                return Some((ask.id, self.send(now, at, item.ask, item.work)));
             }
         }
         None
@@ -390,18 +390,18 @@
         self.queue.next_deadline()
     }
 
-    fn work(&self, ask: &Ask) -> f64 {
-        let expected = self.lengths.law(&ask.workspace).expected(0, ask.limit.get());
+    fn work(&self, ask: &Request) -> f64 {
+        let expected = self.lengths.distribution(&ask.workspace).expected(0, ask.limit.get());
         PROMPT_TOKEN_WORK * ask.prompt.get() as f64 + f64::from(expected)
     }
 
-    fn curve(&self, ask: &Ask, produced: u64) -> Curve {
+    fn curve(&self, ask: &Request, produced: u64) -> Curve {
         let (prompt, limit) = (ask.prompt.get(), ask.limit.get().min(self.largest_capacity));
         if is_lookup(ask) {
             return Curve::default();
         }
         match self.settings.length {
-            true => Curve::of(self.lengths.law(&ask.workspace), prompt, produced, limit),
+            true => Curve::of(self.lengths.distribution(&ask.workspace), prompt, produced, limit),
             false => Curve::reserved(prompt, limit),
         }
     }
@@ -412,7 +412,7 @@
         &mut self,
         now: Time,
         rng: &mut impl Rng,
-        ask: &Ask,
+        ask: &Request,
         work: f64,
     ) -> Option<Verdict> {
         let ahead = self.queue.work_ahead(ask.class, &ask.workspace, work);
@@ -428,7 +428,7 @@
         Some(refuse(rng, Reason::Deadline, late - patience))
     }
 
-    fn note_prompt(&mut self, ask: &Ask) {
+    fn note_prompt(&mut self, ask: &Request) {
         let prompt = ask.prompt.get() as f64;
         if is_lookup(ask) {
             return;
@@ -437,11 +437,11 @@
         self.mean_prompt += (prompt - self.mean_prompt) * part;
     }
 
-    fn send(&mut self, now: Time, at: usize, ask: Ask, work: f64) -> Verdict {
+    fn send(&mut self, now: Time, at: usize, ask: Request, work: f64) -> Verdict {
         let curve = self.curve(&ask, 0);
         self.note_prompt(&ask);
         let state = &mut self.targets[at];
-        let grounds = Grounds {
+        let grounds = Placement {
             load: state.memory.load(),
             streams: state.memory.all_streams(),
             unread: Tokens::new(state.all_unread()),
@@ -458,7 +458,7 @@
         self.usage.add(&ask.workspace, f64::from(curve.now()));
         self.queue.charge(&ask.workspace, work);
         let mark = self.lengths.begin(&ask.workspace);
-        let request = ask.request;
+        let request = ask.id;
         let running = Running {
             target: at,
             ask,
@@ -477,7 +477,7 @@
     }
 }
 
-fn is_lookup(ask: &Ask) -> bool {
+fn is_lookup(ask: &Request) -> bool {
     ask.class == Class::Lookup || ask.limit == Tokens::default()
 }
 
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -4,11 +4,11 @@
 
 use rand::Rng;
 
-use crate::ask::{Ask, Class};
 use crate::curve::Curve;
 use crate::gate::Gate;
 use crate::id;
 use crate::placement::{self, Candidate};
+use crate::request::{Class, Request};
 use crate::shedding;
 use crate::target;
 use crate::time::Time;
@@ -73,7 +73,7 @@
         &mut self,
         now: Time,
         rng: &mut impl Rng,
-        ask: &Ask,
+        ask: &Request,
     ) -> Option<usize> {
         let sends = self.sends;
         self.collect(|state| {
@@ -101,7 +101,7 @@
         &mut self,
         now: Time,
         rng: &mut impl Rng,
-        ask: &Ask,
+        ask: &Request,
         curve: &Curve,
     ) -> Option<usize> {
         let settings = self.settings.clone();
--- a/crates/policy/src/gate/targets.rs
+++ b/crates/policy/src/gate/targets.rs
@@ -5,11 +5,11 @@
 
 use rand::Rng;
 
-use crate::ask::{Reason, Report, Verdict};
 use crate::exclusion::Exclusion;
 use crate::gate::{Gate, RETRY_AFTER, refuse};
 use crate::id;
 use crate::memory::Growth;
+use crate::request::{Reason, Report, Verdict};
 use crate::share;
 use crate::stagger::{Delay, Order};
 use crate::target;
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -191,7 +191,7 @@
     /// Applies one change that was read at `position`, and returns whether anything changed.
     /// Changes of an earlier era are ignored.
     pub fn apply_change(&mut self, now: Time, position: Position, change: Change) -> bool {
-        if self.position.is_after(position) {
+        if self.position.has_later_era_than(position) {
             return false;
         }
         let changed = match change {
@@ -228,7 +228,7 @@
         if position < self.position {
             return false;
         }
-        let restored = position.is_after(self.position) && !self.live.is_empty();
+        let restored = position.has_later_era_than(self.position) && !self.live.is_empty();
         if restored {
             self.start_grace(now);
         }
@@ -245,7 +245,7 @@
         for id in missing {
             changed |= self.mark_missing(now, position, &id);
         }
-        self.advance_position(position, changed || position.is_after(before))
+        self.advance_position(position, changed || position.has_later_era_than(before))
     }
 
     /// Starts the grace period if a reading lacks most of the ready targets, which is treated as
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,10 +1,8 @@
-//! Every decision of fireflyhoist, free of network, clock and randomness of its own.
+//! Decision logic of fireflyhoist, without network access, clock reads or randomness of its own.
 //!
-//! Callers of this crate pass `now` and a random source into each decision, so that every test and
-//! every load pattern replays exactly. The absence of any I/O library in `Cargo.toml` is what
-//! keeps that true; see `docs/DESIGN.md`, section "One daemon, one tool".
+//! Callers pass `now` and a random source into each decision, so that tests and simulated load
+//! replay deterministically. `Cargo.toml` lists no I/O library, which enforces this.
 
-pub mod ask;
 pub mod backoff;
 pub mod bootstrap;
 pub mod burn;
@@ -13,14 +11,14 @@
 pub mod cordon;
 pub mod curve;
 pub mod exclusion;
+pub mod failover;
 pub mod gate;
 pub mod handle;
-pub mod handover;
 pub mod heartbeat;
 pub mod hedge;
 pub mod id;
+pub mod idempotency;
 pub mod lease;
-pub mod ledger;
 pub mod length;
 pub mod mac;
 pub mod member;
@@ -34,14 +32,15 @@
 pub mod presence;
 pub mod queue;
 pub mod rendezvous;
+pub mod request;
 pub mod resubmission;
 pub mod retry;
 pub mod roster;
 pub mod route;
-pub mod session;
+pub mod sequencer;
 pub mod share;
 mod shedding;
-pub mod sink;
+pub mod shutdown;
 pub mod stagger;
 pub mod suppress;
 mod target;
--- a/crates/policy/src/order/plan.rs
+++ b/crates/policy/src/order/plan.rs
@@ -1,81 +1,84 @@
-//! What to do about one engine, from what was just read from it.
+//! Decides what to do about one engine from the state just read from it.
 
 use serde::{Deserialize, Serialize};
 
-use crate::order::fence::{Fence, FenceError, Mark};
-use crate::order::roll::Status;
-use crate::order::wanted::{Fencing, Setup};
+use crate::order::desired::{Fencing, Setup};
+use crate::order::fence::{Epoch, Fence, FenceError};
+use crate::order::rollout::Status;
 
-/// What an engine says of its orders.
+/// The state that an engine reports about its orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observed {
-    /// The highest fencing number it has taken; engines that ignore numbers may report none.
+    /// The highest fencing number it has accepted; engines that ignore fencing numbers may report
+    /// none.
     #[serde(default)]
     pub fence: Fence,
-    /// What it serves.
+    /// The setup that it serves, if any.
     #[serde(default)]
     pub holds: Option<Setup>,
-    /// What it loads.
+    /// The setup that it is loading, if any.
     #[serde(default)]
     pub loading: Option<Setup>,
 }
 
 impl Observed {
-    /// How the engine stands towards what is wanted of it.
-    pub fn status(&self, wanted: &Setup) -> Status {
+    /// Compares the engine's state with the desired setup.
+    pub fn status(&self, desired: &Setup) -> Status {
         match (&self.loading, &self.holds) {
-            (Some(loading), _) if loading == wanted => Status::Loading,
-            (Some(_), _) => Status::Diverted,
-            (None, Some(held)) if held == wanted => Status::Settled,
-            (None, Some(_)) => Status::Stale,
+            (Some(loading), _) if loading == desired => Status::Loading,
+            (Some(_), _) => Status::LoadingOther,
+            (None, Some(held)) if held == desired => Status::UpToDate,
+            (None, Some(_)) => Status::Outdated,
             (None, None) => Status::Empty,
         }
     }
 }
 
-/// One order, complete in itself: taking it twice ends where taking it once does.
+/// One order. It states the complete setup, so applying it twice has the same effect as applying it
+/// once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Its fencing number.
+    /// The fencing number.
     pub fence: Fence,
-    /// What the engine should hold from now on.
+    /// The setup that the engine should hold from now on.
     pub setup: Setup,
 }
 
 /// What to do about an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// It holds, or loads, what is wanted.
+pub enum Action {
+    /// The engine holds or is loading the desired setup; do nothing.
     Nothing,
-    /// Give this order, which makes the engine load.
+    /// Send this order, which makes the engine load.
     Load(Order),
-    /// Give this order, which changes nothing but the engine's highest number.
+    /// Send this order, which only raises the engine's highest fencing number.
     ///
-    /// Without it an engine that two versions in a row leave as it is would still take the order
-    /// of a version between them, from a steward that was away.
-    Claim(Order),
+    /// Without it, an engine that keeps its setup across two versions would still accept an order
+    /// of an intermediate version from an owner that was paused or partitioned.
+    RaiseFence(Order),
 }
 
 /// Decides on one engine.
 ///
-/// Reading before each order is what repairs one that was lost, came late or was undone: the next
-/// round sees the engine as it is and orders again.
+/// The engine is read before each order. This repairs an order that was lost, arrived late or was
+/// undone: the next round sees the actual state and orders again.
 ///
 /// # Errors
 ///
-/// Where the engine follows a newer version, or no number is left; the message says what to do.
-pub fn step(
-    wanted: &Setup,
+/// [`FenceError`] where the engine follows a newer version or no fencing number is left; the
+/// message says what to do.
+pub fn decide(
+    desired: &Setup,
     fencing: Fencing,
-    mark: Mark,
+    epoch: Epoch,
     observed: &Observed,
-) -> Result<Step, FenceError> {
-    let heading = observed.loading.as_ref().or(observed.holds.as_ref());
-    let there = heading == Some(wanted);
-    let claimed = fencing == Fencing::Ignored || observed.fence.mark() >= mark;
-    if there && claimed {
-        return Ok(Step::Nothing);
+) -> Result<Action, FenceError> {
+    let current = observed.loading.as_ref().or(observed.holds.as_ref());
+    let in_place = current == Some(desired);
+    let fence_raised = fencing == Fencing::Ignored || observed.fence.epoch() >= epoch;
+    if in_place && fence_raised {
+        return Ok(Action::Nothing);
     }
-    let order = Order { fence: observed.fence.next(mark)?, setup: wanted.clone() };
-    Ok(if there { Step::Claim(order) } else { Step::Load(order) })
+    let order = Order { fence: observed.fence.next(epoch)?, setup: desired.clone() };
+    Ok(if in_place { Action::RaiseFence(order) } else { Action::Load(order) })
 }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -13,8 +13,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::ask::{Ask, Class};
 use crate::id;
+use crate::request::{Class, Request};
 use crate::throughput::Meter;
 use crate::time::Time;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Item {
     /// The request.
-    pub ask: Ask,
+    pub ask: Request,
     /// Its predicted work in tokens.
     pub work: f64,
 }
@@ -119,7 +119,7 @@
     pub fn push(&mut self, now: Time, item: Item, front: bool) {
         let workspace = item.ask.workspace.clone();
         let location = Location { class: item.ask.class, workspace: workspace.clone(), since: now };
-        self.locations.insert(item.ask.request, location);
+        self.locations.insert(item.ask.id, location);
         // An idle workspace gains no credit for work that it did not ask for.
         let account = self.accounts.entry(workspace.clone()).or_default();
         let flows = self.classes.entry(item.ask.class).or_default();
@@ -204,7 +204,7 @@
         let flow = flows.get_mut(workspace)?;
         let item = flow.items.remove(at)?;
         flow.work = (flow.work - item.work).max(0.0);
-        self.locations.remove(&item.ask.request);
+        self.locations.remove(&item.ask.id);
         if flow.items.is_empty() {
             flows.remove(workspace);
             self.evict_account(workspace);
@@ -223,7 +223,7 @@
     pub fn remove(&mut self, request: id::Request) -> Option<Item> {
         let Location { class, workspace, .. } = self.locations.get(&request)?.clone();
         let flow = self.classes.get(&class)?.get(&workspace)?;
-        let at = flow.items.iter().position(|item| item.ask.request == request)?;
+        let at = flow.items.iter().position(|item| item.ask.id == request)?;
         self.take(class, &workspace, at)
     }
 
@@ -243,7 +243,7 @@
             }
             let items = flows.values().flat_map(|flow| &flow.items);
             let passed = items.filter(|item| item.ask.objective < now + lead);
-            late.extend(passed.map(|item| item.ask.request));
+            late.extend(passed.map(|item| item.ask.id));
         }
         for request in late {
             let since = self.locations.get(&request).map_or(now, |location| location.since);
@@ -261,15 +261,12 @@
     pub fn shed(&mut self, now: Time, lead: Duration, max_wait: Duration) -> Vec<Item> {
         let spare = self.classes.get(&Class::Spare).into_iter().flat_map(BTreeMap::values);
         let expired = |item: &&Item| {
-            let location = self.locations.get(&item.ask.request);
+            let location = self.locations.get(&item.ask.id);
             let late_on_arrival = location.is_some_and(|p| item.ask.objective < p.since + lead);
             !late_on_arrival && item.ask.objective + max_wait < now + lead
         };
-        let expired: Vec<id::Request> = spare
-            .flat_map(|flow| &flow.items)
-            .filter(expired)
-            .map(|item| item.ask.request)
-            .collect();
+        let expired: Vec<id::Request> =
+            spare.flat_map(|flow| &flow.items).filter(expired).map(|item| item.ask.id).collect();
         expired.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
--- a/crates/policy/tests/shedding.rs
+++ b/crates/policy/tests/shedding.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::gate::{Ask, Class, Gate, Outcome, Reason, Report, Settings, Verdict};
+use fireflyhoist_policy::gate::{Class, Gate, Outcome, Reason, Report, Request, Settings, Verdict};
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::unit::Tokens;
@@ -32,9 +32,9 @@
     format!("e-{n}").parse().expect("a name")
 }
 
-fn ask(request: u128, now: Time, arrived: Time) -> Ask {
-    Ask {
-        request: id::Request::new(request),
+fn ask(request: u128, now: Time, arrived: Time) -> Request {
+    Request {
+        id: id::Request::new(request),
         workspace: "w".parse().expect("a name"),
         class: Class::Overnight,
         prompt: Tokens::new(PROMPT),
@@ -42,7 +42,7 @@
         prefix: 0,
         objective: arrived + OBJECTIVE,
         deadline: now + PATIENCE,
-        repeat: false,
+        retry: false,
         avoid: None,
     }
 }
