--- a/crates/daemon/src/process/member.rs
+++ b/crates/daemon/src/process/member.rs
@@ -7,9 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::member::{
-    Action, Entry, Identity, Membership, Message, Published, Record,
-};
+use fireflyhoist_policy::member::{Action, Entry, HostList, Identity, Membership, Message, Record};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::version::{
     Asked, Book, Readiness, Stamp, Standing, Verdict, Version, is_watcher, poll_interval,
@@ -120,7 +118,7 @@
     pub(crate) fn publish(&self, now: Time, hosts: &Hosts) {
         let mut state = self.state.lock();
         state.listed = true;
-        state.membership.publish(now, &published(hosts));
+        state.membership.apply_list(now, &published(hosts));
     }
 
     /// Whether a list as old as this one is behind what is known.
@@ -270,7 +268,7 @@
     }
 }
 
-fn published(hosts: &Hosts) -> Published {
+fn published(hosts: &Hosts) -> HostList {
     let entry = |host: &Host| {
         let listen = host.entry?;
         Some(Entry {
@@ -280,7 +278,7 @@
             peer: listen.peer,
         })
     };
-    Published {
+    HostList {
         sequence: hosts.sequence,
         hosts: hosts.hosts.iter().map(|h| (h.name.clone(), h.state == State::Leaving)).collect(),
         entries: hosts.hosts.iter().filter_map(entry).collect(),
--- a/crates/policy/src/member/published.rs
+++ b/crates/policy/src/member/host_list.rs
@@ -23,7 +23,7 @@
 
 /// A host list as read from the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Published {
+pub struct HostList {
     /// Grows with each change of the list.
     pub sequence: u64,
     /// Every host and whether it is leaving.
@@ -45,10 +45,10 @@
 
 /// The newest that is known of each published host.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct List {
+pub(crate) struct HostStates {
     sequence: u64,
     changes: u64,
-    hosts: BTreeMap<id::Host, Said>,
+    hosts: BTreeMap<id::Host, HostState>,
     addresses: BTreeMap<id::Host, Addresses>,
 }
 
@@ -60,13 +60,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Said {
+struct HostState {
     sequence: u64,
     leaving: bool,
     listed: bool,
 }
 
-impl List {
+impl HostStates {
     pub(crate) fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -76,19 +76,19 @@
         self.changes
     }
 
-    pub(crate) fn names(&self, host: &id::Host) -> bool {
-        self.hosts.get(host).is_some_and(|said| said.listed)
+    pub(crate) fn is_listed(&self, host: &id::Host) -> bool {
+        self.hosts.get(host).is_some_and(|state| state.listed)
     }
 
     pub(crate) fn is_leaving(&self, host: &id::Host) -> bool {
-        self.hosts.get(host).is_some_and(|said| said.leaving)
+        self.hosts.get(host).is_some_and(|state| state.leaving)
     }
 
     /// The record with the addresses that the list names, where it names the host.
     ///
     /// A member that has not read the list yet gives the addresses that it is bound to, which others
     /// may not reach.
-    pub(crate) fn locate(&self, record: &Record) -> Record {
+    pub(crate) fn with_listed_addresses(&self, record: &Record) -> Record {
         let mut located = record.clone();
         if let Some(addresses) = self.addresses.get(&record.host) {
             (located.http, located.peer) = (addresses.http, addresses.peer);
@@ -101,7 +101,7 @@
     /// The failure: a platform that serves stale content names a host as live that has been leaving
     /// for long. A list with a lower sequence than one seen is ignored, and so is each host of it
     /// about which a later notice came.
-    pub(crate) fn install(&mut self, published: &Published) -> Vec<Notice> {
+    pub(crate) fn apply_list(&mut self, published: &HostList) -> Vec<Notice> {
         if published.sequence < self.sequence {
             return Vec::new();
         }
@@ -116,36 +116,36 @@
             self.hosts.keys().filter(|host| !listed.contains_key(host)).cloned().collect();
         for host in gone {
             let notice = Notice { host, sequence, leaving: true };
-            if self.say(&notice, false) {
+            if self.update(&notice, false) {
                 changed.push(notice);
             }
         }
         for (host, leaving) in listed {
             let notice = Notice { host: host.clone(), sequence, leaving };
-            if self.say(&notice, true) {
+            if self.update(&notice, true) {
                 changed.push(notice);
             }
         }
         // What is no longer listed has been told; only what later notices say is kept.
-        self.hosts.retain(|_, said| said.listed || said.leaving);
+        self.hosts.retain(|_, state| state.listed || state.leaving);
         changed
     }
 
     /// Takes in a notice from a peer; whether it says something new.
-    pub(crate) fn note(&mut self, notice: &Notice) -> bool {
-        let listed = self.names(&notice.host);
-        self.say(notice, listed)
+    pub(crate) fn apply_notice(&mut self, notice: &Notice) -> bool {
+        let listed = self.is_listed(&notice.host);
+        self.update(notice, listed)
     }
 
     /// Whether what is known changed.
-    fn say(&mut self, notice: &Notice, listed: bool) -> bool {
+    fn update(&mut self, notice: &Notice, listed: bool) -> bool {
         let before = self.hosts.get(&notice.host).copied();
-        if before.is_some_and(|said| said.sequence > notice.sequence) {
+        if before.is_some_and(|state| state.sequence > notice.sequence) {
             return false;
         }
-        let said = Said { sequence: notice.sequence, leaving: notice.leaving, listed };
-        self.hosts.insert(notice.host.clone(), said);
-        let changed = before.is_some_and(|said| said.leaving) != notice.leaving;
+        let state = HostState { sequence: notice.sequence, leaving: notice.leaving, listed };
+        self.hosts.insert(notice.host.clone(), state);
+        let changed = before.is_some_and(|state| state.leaving) != notice.leaving;
         self.changes += u64::from(changed);
         changed
     }
--- a/crates/policy/src/member/mod.rs
+++ b/crates/policy/src/member/mod.rs
@@ -9,14 +9,14 @@
 //! ([`watch`]), so that bytes for each member stay flat as the fleet grows.
 //! See `docs/DESIGN.md`, section "Membership"; `docs/CAPACITY.md` has the measured slopes.
 
+mod host_list;
 mod message;
-mod news;
+mod neighbour;
+mod outbox;
 pub mod proof;
-mod published;
 mod record;
 pub mod ring;
 mod table;
-mod watch;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,14 +28,14 @@
 use crate::time::Time;
 use crate::version::Stamp;
 
+pub use host_list::{Entry, HostList, Notice};
 pub use message::{Heartbeat, MAX_RECORDS, Message};
-pub use published::{Entry, Notice, Published};
 pub use record::{Record, Status};
 
-use news::Outbox;
-use published::List;
+use host_list::HostStates;
+use neighbour::Neighbour;
+use outbox::Outbox;
 use table::Table;
-use watch::Neighbour;
 
 /// Between two heartbeats to one neighbour.
 ///
@@ -109,7 +109,7 @@
 pub struct Membership {
     own: Record,
     table: Table,
-    list: List,
+    listed: HostStates,
     neighbours: BTreeMap<id::Host, Neighbour>,
     outbox: Outbox,
     stamp: Stamp,
@@ -138,7 +138,7 @@
         Self {
             own,
             table,
-            list: List::default(),
+            listed: HostStates::default(),
             neighbours: BTreeMap::new(),
             outbox: Outbox::default(),
             stamp: Stamp::default(),
@@ -166,13 +166,13 @@
             record.status == Status::Alive
                 && record.ready
                 && !record.leaving
-                && !self.list.is_leaving(&record.host)
+                && !self.listed.is_leaving(&record.host)
         })
     }
 
     /// Whether a host, of an entry or of a target, is leaving by any source.
     pub fn is_leaving(&self, host: &id::Host) -> bool {
-        self.list.is_leaving(host) || self.table.get(host).is_some_and(|record| record.leaving)
+        self.listed.is_leaving(host) || self.table.get(host).is_some_and(|record| record.leaving)
     }
 
     /// Whether what this process knows may be acted on; not right after a pause.
@@ -202,7 +202,7 @@
 
     /// Counts changes in who is leaving, by any source.
     pub fn departures(&self) -> u64 {
-        self.list.changes() + self.departures
+        self.listed.changes() + self.departures
     }
 
     /// A first message to a host that may not know this one.
@@ -230,7 +230,7 @@
 
     /// The sequence of the newest published list seen.
     pub fn sequence(&self) -> u64 {
-        self.list.sequence()
+        self.listed.sequence()
     }
 
     /// The version in force here, which heartbeats announce; a change goes out with the next flush.
@@ -261,23 +261,23 @@
     }
 
     /// Takes in a host list from the platform; one older than known is ignored.
-    pub fn publish(&mut self, now: Time, published: &Published) {
-        for notice in self.list.install(published) {
+    pub fn apply_list(&mut self, now: Time, published: &HostList) {
+        for notice in self.listed.apply_list(published) {
             self.outbox.notice(notice, None, self.neighbours.keys());
         }
         for entry in &published.entries {
             if entry.host == self.own.host {
-                self.locate(now, entry);
+                self.set_own_addresses(now, entry);
             } else {
-                self.table.merge(now, &Record::unheard(entry));
+                self.table.merge(now, &Record::unseen(entry));
             }
         }
-        self.table.relocate(|record| self.list.locate(record));
+        self.table.update_addresses(|record| self.listed.with_listed_addresses(record));
         self.rewire(now);
     }
 
     /// A process may listen on every address of its host; the list says which of them others use.
-    fn locate(&mut self, now: Time, entry: &Entry) {
+    fn set_own_addresses(&mut self, now: Time, entry: &Entry) {
         if (self.own.http, self.own.peer) != (entry.http, entry.peer) {
             (self.own.http, self.own.peer) = (entry.http, entry.peer);
             self.renew(now);
@@ -366,7 +366,7 @@
 
     fn beat(&mut self, now: Time, from: &id::Host, beat: Heartbeat) -> Vec<Action> {
         for notice in beat.notices.into_iter().take(MAX_RECORDS) {
-            if self.list.note(&notice) {
+            if self.listed.apply_notice(&notice) {
                 self.outbox.notice(notice, Some(from), self.neighbours.keys());
             }
         }
@@ -398,7 +398,7 @@
             return;
         }
         let left = self.is_leaving(&record.host);
-        if self.table.merge(now, &self.list.locate(record)) {
+        if self.table.merge(now, &self.listed.with_listed_addresses(record)) {
             self.departures += u64::from(left != self.is_leaving(&record.host));
             self.outbox.record(&record.host, from, self.neighbours.keys());
             self.rewire(now);
@@ -453,8 +453,8 @@
         for host in hosts {
             let Some(neighbour) = self.neighbours.get_mut(&host) else { continue };
             match neighbour.verdict(now) {
-                watch::Verdict::Fine => {}
-                watch::Verdict::Ask => {
+                neighbour::Verdict::Fine => {}
+                neighbour::Verdict::Ask => {
                     // A link that went silent for good while new ones work: replaced, and the
                     // member asked after through others that have links of their own.
                     actions.push(Action::Replace(host.clone()));
@@ -463,7 +463,7 @@
                         actions.extend(self.send(&through, message));
                     }
                 }
-                watch::Verdict::Suspect => self.mark(now, &host, Status::Suspect),
+                neighbour::Verdict::Suspect => self.mark(now, &host, Status::Suspect),
             }
         }
     }
@@ -481,8 +481,8 @@
         for host in self.table.overdue(now, SUSPICION) {
             self.mark(now, &host, Status::Dead);
         }
-        let list = &self.list;
-        self.table.forget(now, FORGET, |host| list.names(host));
+        let listed = &self.listed;
+        self.table.forget(now, FORGET, |host| listed.is_listed(host));
     }
 
     /// Tries one dead host again: after a partition healed, nobody else would speak first.
--- a/crates/policy/src/member/news.rs
+++ b/crates/policy/src/member/outbox.rs
@@ -4,7 +4,7 @@
 
 use crate::id;
 use crate::member::Notice;
-use crate::member::watch::Neighbour;
+use crate::member::neighbour::Neighbour;
 
 /// News for one neighbour.
 #[derive(Clone, Debug, Default)]
--- a/crates/policy/src/member/record.rs
+++ b/crates/policy/src/member/record.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::id;
-use crate::member::published::Entry;
+use crate::member::host_list::Entry;
 
 /// How a member is seen.
 #[derive(
@@ -45,7 +45,7 @@
 
 impl Record {
     /// A host that was published and not heard of yet.
-    pub(crate) fn unheard(entry: &Entry) -> Self {
+    pub(crate) fn unseen(entry: &Entry) -> Self {
         Self {
             host: entry.host.clone(),
             domain: entry.domain.clone(),
--- a/crates/policy/src/member/table.rs
+++ b/crates/policy/src/member/table.rs
@@ -75,8 +75,8 @@
     }
 
     /// Gives every record the addresses that it should have; nothing else of it may differ.
-    pub(crate) fn relocate(&mut self, located: impl Fn(&Record) -> Record) {
-        self.rows.values_mut().for_each(|row| row.record = located(&row.record));
+    pub(crate) fn update_addresses(&mut self, with_addresses: impl Fn(&Record) -> Record) {
+        self.rows.values_mut().for_each(|row| row.record = with_addresses(&row.record));
     }
 
     /// Whether what is held about a host holds against `record`.
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -76,7 +76,7 @@
     let mut fleet = settled(330, 4);
     let now = fleet.now();
     let list = published(2, 0..330, &[9]);
-    fleet.nodes[100].membership.publish(now, &list);
+    fleet.nodes[100].membership.apply_list(now, &list);
     let known = |fleet: &Fleet| fleet.nodes.iter().all(|n| n.membership.is_leaving(&host(9)));
     assert!(fleet.until(seconds(3), known).is_some(), "not known everywhere after 3 s");
 }
@@ -87,10 +87,10 @@
 fn a_stale_list_brings_no_leaving_host_back() {
     let mut fleet = settled(8, 5);
     let now = fleet.now();
-    fleet.nodes[0].membership.publish(now, &published(5, 0..8, &[3]));
+    fleet.nodes[0].membership.apply_list(now, &published(5, 0..8, &[3]));
     fleet.run(seconds(2));
     for node in &mut fleet.nodes {
-        node.membership.publish(now, &published(4, 0..8, &[]));
+        node.membership.apply_list(now, &published(4, 0..8, &[]));
     }
     fleet.run(seconds(5));
     assert!(fleet.nodes.iter().all(|node| node.membership.is_leaving(&host(3))));
@@ -106,7 +106,7 @@
     let mut list = published(2, 0..2, &[]);
     let elsewhere = "127.0.0.9:9".parse().expect("an address");
     list.entries[1].peer = elsewhere;
-    viewer.publish(now, &list);
+    viewer.apply_list(now, &list);
     assert_eq!(viewer.address(&host(1)), Some(elsewhere), "a newer list moves a known member");
     let own = viewer.records().find(|record| record.host == host(1)).expect("known").clone();
     let word = Record {
@@ -127,7 +127,7 @@
     let now = fleet.now();
     let mut list = published(2, 0..2, &[]);
     list.entries[0].peer = "127.0.0.9:9".parse().expect("an address");
-    fleet.nodes[1].membership.publish(now, &list);
+    fleet.nodes[1].membership.apply_list(now, &list);
     let before = fleet.nodes[0].membership.own().incarnation;
     let passed = fleet.nodes[1].membership.records().find(|record| record.host == host(0));
     let passed = passed.expect("known").clone();
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::member::{Action, Entry, Identity, Membership, Message, Published};
+use fireflyhoist_policy::member::{Action, Entry, HostList, Identity, Membership, Message};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::version::{Book, Fetch, Stamp, Verdict, Version};
 use rand::SeedableRng;
@@ -85,7 +85,7 @@
     sequence: u64,
     numbers: impl Iterator<Item = usize>,
     leaving: &[usize],
-) -> Published {
+) -> HostList {
     let entries: Vec<(usize, Entry)> = numbers
         .map(|n| {
             let at = address(n);
@@ -94,7 +94,7 @@
         .collect();
     let hosts =
         entries.iter().map(|(n, entry)| (entry.host.clone(), leaving.contains(n))).collect();
-    Published { sequence, hosts, entries: entries.into_iter().map(|(_, entry)| entry).collect() }
+    HostList { sequence, hosts, entries: entries.into_iter().map(|(_, entry)| entry).collect() }
 }
 
 impl Fleet {
@@ -117,7 +117,7 @@
         let list = published(1, 0..size, &[]);
         for number in 0..size {
             let mut node = fleet.node(number, 1);
-            node.membership.publish(Time::ZERO, &list);
+            node.membership.apply_list(Time::ZERO, &list);
             fleet.nodes.push(node);
         }
         fleet
@@ -144,10 +144,10 @@
     }
 
     /// Starts member `number` anew, as a replaced host would, knowing `list` only.
-    pub fn restart(&mut self, number: usize, list: &Published) {
+    pub fn restart(&mut self, number: usize, list: &HostList) {
         let incarnation = self.now.as_micros() + 2;
         let mut node = self.node(number, incarnation);
-        node.membership.publish(self.now, list);
+        node.membership.apply_list(self.now, list);
         (node.sent, node.bytes) = (self.nodes[number].sent, self.nodes[number].bytes);
         self.nodes[number] = node;
     }
