--- a/crates/daemon/src/process/member.rs
+++ b/crates/daemon/src/process/member.rs
@@ -83,7 +83,7 @@
     pub(crate) fn poll(&self, now: Time) -> Vec<Step> {
         let mut state = self.state.lock();
         let actions = state.membership.poll(now, &mut rand::rng());
-        if actions.contains(&Action::Reset) {
+        if actions.contains(&Action::CloseAllLinks) {
             state.readiness = Readiness::open(now);
         }
         state.steps(actions)
@@ -192,7 +192,7 @@
 
     /// Whether no other member was heard yet.
     pub(crate) fn is_alone(&self) -> bool {
-        !self.state.lock().membership.has_heard()
+        !self.state.lock().membership.has_received()
     }
 
     /// Whether this process is one that watches the platform.
@@ -212,7 +212,7 @@
     fn standing(&mut self, now: Time) -> Standing {
         // Nobody to ask, or nobody who can be reached, is known at once; silence takes its time.
         let nobody = self.listed && !self.membership.knows_others();
-        let asked = match nobody || self.membership.is_cut_off() {
+        let asked = match nobody || self.membership.is_isolated() {
             true => Asked::Silent,
             false => Asked::Pending,
         };
@@ -261,8 +261,8 @@
             Action::Send { to, address, message } => {
                 Step::Send { to, address, frame: Frame::Member(message) }
             }
-            Action::Replace(host) => Step::Replace(host),
-            Action::Reset => Step::Reset,
+            Action::CloseLink(host) => Step::Replace(host),
+            Action::CloseAllLinks => Step::Reset,
         };
         actions.into_iter().map(step).collect()
     }
--- a/crates/policy/src/member/mod.rs
+++ b/crates/policy/src/member/mod.rs
@@ -41,35 +41,35 @@
 ///
 /// With a second, `slopes` measured 1,020 bytes a second sent by each of 330 members and as many
 /// received, which with the texts left nothing of the 2 KB budget; see `docs/CAPACITY.md`.
-pub const HEARTBEAT: Duration = Duration::from_millis(1_500);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// How long news waits to share a frame; four hops of it still stay under a second.
-const FLUSH: Duration = Duration::from_millis(200);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A neighbour unheard for this long is asked after through others: more than two heartbeats, so
 /// that one late heartbeat asks nobody.
-pub const SILENCE: Duration = Duration::from_millis(3_250);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_250);
 
 /// How long an indirect probe may take before the neighbour is suspected.
-pub const PROBE: Duration = Duration::from_millis(1_500);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How long a suspect has to refute: several times the spread of news.
-pub const SUSPICION: Duration = Duration::from_secs(4);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A gap between two polls that counts as a pause of this process.
 ///
-/// The daemon polls ten times a second. As long as [`SILENCE`], since after such a gap this process
+/// The daemon polls ten times a second. As long as [`SILENCE_TIMEOUT`], since after such a gap this process
 /// cannot tell a silent neighbour from its own sleep.
-pub const PAUSE: Duration = SILENCE;
+pub const PAUSE_THRESHOLD: Duration = SILENCE_TIMEOUT;
 
 /// How long a process that woke waits for a neighbour before it counts itself alone.
-const DOUBT: Duration = Duration::from_secs(3);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How often one dead host is tried again, so that a partition that healed is noticed.
-const RETRY: Duration = Duration::from_secs(2);
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How long a dead host that is no longer published is remembered.
-const FORGET: Duration = Duration::from_secs(120);
+const DEAD_TTL: Duration = Duration::from_secs(120);
 
 /// Who this process is.
 #[derive(Clone, Debug)]
@@ -99,9 +99,9 @@
         message: Message,
     },
     /// Close every link: what waits in their buffers was sent before a pause.
-    Reset,
+    CloseAllLinks,
     /// Close the link to this host, which fell silent, so that the next message opens a new one.
-    Replace(id::Host),
+    CloseLink(id::Host),
 }
 
 /// One process's view of the fleet.
@@ -113,10 +113,10 @@
     neighbours: BTreeMap<id::Host, Neighbour>,
     outbox: Outbox,
     stamp: Stamp,
-    polled: Time,
-    doubt: Option<Time>,
-    retried: Time,
-    heard_any: bool,
+    last_poll: Time,
+    resumed_at: Option<Time>,
+    last_retry: Time,
+    received_any: bool,
     departures: u64,
 }
 
@@ -142,10 +142,10 @@
             neighbours: BTreeMap::new(),
             outbox: Outbox::default(),
             stamp: Stamp::default(),
-            polled: now,
-            doubt: None,
-            retried: now,
-            heard_any: false,
+            last_poll: now,
+            resumed_at: None,
+            last_retry: now,
+            received_any: false,
             departures: 0,
         }
     }
@@ -177,12 +177,12 @@
 
     /// Whether what this process knows may be acted on; not right after a pause.
     pub fn is_trusted(&self) -> bool {
-        self.doubt.is_none()
+        self.resumed_at.is_none()
     }
 
     /// Whether any member has answered since the start or the last pause.
-    pub fn has_heard(&self) -> bool {
-        self.heard_any
+    pub fn has_received(&self) -> bool {
+        self.received_any
     }
 
     /// Whether any other member is known to ask.
@@ -191,8 +191,8 @@
     }
 
     /// Whether every neighbour failed to be reached when last tried.
-    pub fn is_cut_off(&self) -> bool {
-        !self.neighbours.is_empty() && self.neighbours.values().all(Neighbour::is_broken)
+    pub fn is_isolated(&self) -> bool {
+        !self.neighbours.is_empty() && self.neighbours.values().all(Neighbour::is_unreachable)
     }
 
     /// Where a host listens for peers.
@@ -207,9 +207,9 @@
 
     /// A first message to a host that may not know this one.
     pub fn greeting(&mut self) -> Message {
-        let mut beat = self.outline(false);
-        beat.records.push(self.own.clone());
-        Message::Heartbeat(beat)
+        let mut heartbeat = self.empty_heartbeat(false);
+        heartbeat.records.push(self.own.clone());
+        Message::Heartbeat(heartbeat)
     }
 
     /// How many members are not dead, this one included.
@@ -219,8 +219,8 @@
 
     /// Members of one failure domain that are not dead.
     pub fn domain_members(&self, domain: &id::Domain) -> Vec<id::Host> {
-        let of = |record: &&Record| record.domain == *domain;
-        self.table.live().filter(of).map(|record| record.host.clone()).collect()
+        let in_domain = |record: &&Record| record.domain == *domain;
+        self.table.live().filter(in_domain).map(|record| record.host.clone()).collect()
     }
 
     /// The members that this one beats with.
@@ -237,7 +237,7 @@
     pub fn set_stamp(&mut self, stamp: Stamp) {
         if stamp != self.stamp {
             self.stamp = stamp;
-            self.neighbours.values_mut().for_each(Neighbour::hasten);
+            self.neighbours.values_mut().for_each(Neighbour::request_flush);
         }
     }
 
@@ -245,7 +245,7 @@
     pub fn set_ready(&mut self, now: Time, ready: bool) {
         if self.own.ready != ready {
             self.own.ready = ready;
-            self.renew(now);
+            self.raise_incarnation(now);
         }
     }
 
@@ -255,15 +255,15 @@
     pub fn leave(&mut self, now: Time) {
         if !self.own.leaving {
             self.own.leaving = true;
-            self.renew(now);
-            self.neighbours.values_mut().for_each(Neighbour::hurry);
+            self.raise_incarnation(now);
+            self.neighbours.values_mut().for_each(Neighbour::send_immediately);
         }
     }
 
     /// Takes in a host list from the platform; one older than known is ignored.
     pub fn apply_list(&mut self, now: Time, published: &HostList) {
         for notice in self.listed.apply_list(published) {
-            self.outbox.notice(notice, None, self.neighbours.keys());
+            self.outbox.queue_notice(notice, None, self.neighbours.keys());
         }
         for entry in &published.entries {
             if entry.host == self.own.host {
@@ -273,26 +273,26 @@
             }
         }
         self.table.update_addresses(|record| self.listed.with_listed_addresses(record));
-        self.rewire(now);
+        self.update_neighbours(now);
     }
 
     /// A process may listen on every address of its host; the list says which of them others use.
     fn set_own_addresses(&mut self, now: Time, entry: &Entry) {
         if (self.own.http, self.own.peer) != (entry.http, entry.peer) {
             (self.own.http, self.own.peer) = (entry.http, entry.peer);
-            self.renew(now);
+            self.raise_incarnation(now);
         }
     }
 
     /// Takes in a message that came over a proven link from `from`.
     pub fn receive(&mut self, now: Time, from: &id::Host, message: Message) -> Vec<Action> {
         // It waited in a buffer while this process slept; the next poll notices the pause.
-        if now.since(self.polled) >= PAUSE {
+        if now.since(self.last_poll) >= PAUSE_THRESHOLD {
             return Vec::new();
         }
-        self.heard(now, from);
+        self.note_received(now, from);
         match message {
-            Message::Heartbeat(beat) => self.beat(now, from, beat),
+            Message::Heartbeat(heartbeat) => self.receive_heartbeat(now, from, heartbeat),
             Message::Probe { target } => {
                 self.send(&target, Message::Ping { on_behalf: from.clone() })
             }
@@ -303,8 +303,8 @@
             Message::Reached { target } => {
                 // It lives, so the silence is that of the link: replace it.
                 if let Some(neighbour) = self.neighbours.get_mut(&target) {
-                    neighbour.vouched(now);
-                    return vec![Action::Replace(target)];
+                    neighbour.confirmed_alive(now);
+                    return vec![Action::CloseLink(target)];
                 }
                 Vec::new()
             }
@@ -312,125 +312,130 @@
                 let (records, more) = self.table.page(after.as_ref(), MAX_RECORDS);
                 self.send(from, Message::Page { records, more })
             }
-            Message::Page { records, more } => self.page(now, from, &records, more),
+            Message::Page { records, more } => self.receive_page(now, from, &records, more),
         }
     }
 
     /// The link to a host broke or could not be opened: ask after it at once.
     pub fn unreachable(&mut self, now: Time, host: &id::Host) {
         if let Some(neighbour) = self.neighbours.get_mut(host) {
-            neighbour.doubted(now);
+            neighbour.link_failed(now);
         }
     }
 
     /// Does what time demands; called about ten times a second.
     pub fn poll(&mut self, now: Time, random: &mut impl Rng) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.notice_pause(now, &mut actions);
-        self.polled = now;
-        self.accuse(now, random, &mut actions);
-        self.bury(now);
-        self.retry(now, random, &mut actions);
-        self.flush(now, &mut actions);
+        self.detect_pause(now, &mut actions);
+        self.last_poll = now;
+        self.check_neighbours(now, random, &mut actions);
+        self.expire_suspects(now);
+        self.retry_dead(now, random, &mut actions);
+        self.send_heartbeats(now, &mut actions);
         actions
     }
 
     /// The failure: a process that was stopped wakes with old facts. It would accuse every
     /// neighbour of silence and hand callers hosts that left meanwhile. So it forgets when it heard
     /// whom, drops its links with what they buffered, and is not trusted until somebody answers.
-    fn notice_pause(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if now.since(self.polled) >= PAUSE {
-            self.doubt = Some(now);
-            self.heard_any = false;
-            self.neighbours.values_mut().for_each(|neighbour| neighbour.forgive(now));
-            self.table.forgive(now);
-            actions.push(Action::Reset);
+    fn detect_pause(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if now.since(self.last_poll) >= PAUSE_THRESHOLD {
+            self.resumed_at = Some(now);
+            self.received_any = false;
+            self.neighbours.values_mut().for_each(|neighbour| neighbour.reset_timers(now));
+            self.table.restart_timers(now);
+            actions.push(Action::CloseAllLinks);
         }
-        if self.doubt.is_some_and(|since| now.since(since) >= DOUBT) {
-            self.doubt = None;
+        if self.resumed_at.is_some_and(|since| now.since(since) >= RECOVERY_TIMEOUT) {
+            self.resumed_at = None;
         }
     }
 
-    fn heard(&mut self, now: Time, from: &id::Host) {
-        self.heard_any = true;
-        self.doubt = None;
+    fn note_received(&mut self, now: Time, from: &id::Host) {
+        self.received_any = true;
+        self.resumed_at = None;
         if let Some(neighbour) = self.neighbours.get_mut(from) {
-            neighbour.heard(now);
+            neighbour.received(now);
         }
         // It speaks, so whoever called it dead or suspect is wrong; only the member itself may say
         // so, with a greater incarnation, and it does once it learns of the accusation.
         if self.table.get(from).is_some_and(|record| record.status != Status::Alive) {
-            self.outbox.record(from, None, std::iter::once(from));
+            self.outbox.queue_record(from, None, std::iter::once(from));
         }
     }
 
-    fn beat(&mut self, now: Time, from: &id::Host, beat: Heartbeat) -> Vec<Action> {
-        for notice in beat.notices.into_iter().take(MAX_RECORDS) {
+    fn receive_heartbeat(
+        &mut self,
+        now: Time,
+        from: &id::Host,
+        heartbeat: Heartbeat,
+    ) -> Vec<Action> {
+        for notice in heartbeat.notices.into_iter().take(MAX_RECORDS) {
             if self.listed.apply_notice(&notice) {
-                self.outbox.notice(notice, Some(from), self.neighbours.keys());
+                self.outbox.queue_notice(notice, Some(from), self.neighbours.keys());
             }
         }
-        for record in beat.records.into_iter().take(MAX_RECORDS) {
-            self.learn(now, Some(from), &record);
+        for record in heartbeat.records.into_iter().take(MAX_RECORDS) {
+            self.apply_record(now, Some(from), &record);
         }
-        let differs = beat.table != self.table.hash();
-        let newborn = self.table.is_alone();
+        let differs = heartbeat.table != self.table.hash();
+        let alone = self.table.knows_only_self();
         if let Some(neighbour) = self.neighbours.get_mut(from) {
-            return match neighbour.compare(now, differs, newborn) {
+            return match neighbour.should_sync(now, differs, alone) {
                 true => self.send(from, Message::Sync { after: None }),
                 false => Vec::new(),
             };
         }
         // A member that beats with us although we do not with it sees another ring for a while; it
         // gets an answer, or it would suspect us.
-        if beat.reply {
+        if heartbeat.reply {
             return Vec::new();
         }
-        self.outbox.record(&self.own.host, None, std::iter::once(from));
+        self.outbox.queue_record(&self.own.host, None, std::iter::once(from));
         let reply = self.heartbeat(from, true);
         self.send(from, reply)
     }
 
     /// Takes in what somebody says of a member; news goes on to the neighbours.
-    fn learn(&mut self, now: Time, from: Option<&id::Host>, record: &Record) {
+    fn apply_record(&mut self, now: Time, from: Option<&id::Host>, record: &Record) {
         if record.host == self.own.host {
             self.refute(now, from, record);
             return;
         }
-        let left = self.is_leaving(&record.host);
+        let was_leaving = self.is_leaving(&record.host);
         if self.table.merge(now, &self.listed.with_listed_addresses(record)) {
-            self.departures += u64::from(left != self.is_leaving(&record.host));
-            self.outbox.record(&record.host, from, self.neighbours.keys());
-            self.rewire(now);
+            self.departures += u64::from(was_leaving != self.is_leaving(&record.host));
+            self.outbox.queue_record(&record.host, from, self.neighbours.keys());
+            self.update_neighbours(now);
         } else if let (Some(from), true) = (from, self.table.supersedes(record)) {
-            self.outbox.record(&record.host, None, std::iter::once(from));
+            self.outbox.queue_record(&record.host, None, std::iter::once(from));
         }
     }
 
     /// Others hold something of this process that is not so: outbid it.
-    fn refute(&mut self, now: Time, from: Option<&id::Host>, said: &Record) {
+    fn refute(&mut self, now: Time, from: Option<&id::Host>, claim: &Record) {
         // Others may have read a newer list, and know better where this process is reached.
-        let said = Record { http: self.own.http, peer: self.own.peer, ..said.clone() };
-        if said.incarnation >= self.own.incarnation && said != self.own {
-            self.own.incarnation = said.incarnation;
-            self.renew(now);
+        let claim = Record { http: self.own.http, peer: self.own.peer, ..claim.clone() };
+        if claim.incarnation >= self.own.incarnation && claim != self.own {
+            self.own.incarnation = claim.incarnation;
+            self.raise_incarnation(now);
         }
         // Whoever says it may be no neighbour, as after a partition; its answer carries the truth.
-        if said != self.own {
-            self.outbox.record(&self.own.host, None, from.into_iter());
+        if claim != self.own {
+            self.outbox.queue_record(&self.own.host, None, from.into_iter());
         }
     }
 
     /// Raises the own incarnation and tells everybody.
-    fn renew(&mut self, now: Time) {
+    fn raise_incarnation(&mut self, now: Time) {
         self.own.incarnation = self.own.incarnation.saturating_add(1);
         self.table.merge(now, &self.own);
-        self.outbox.record(&self.own.host, None, self.neighbours.keys());
+        self.outbox.queue_record(&self.own.host, None, self.neighbours.keys());
     }
 
     /// Chooses the neighbours anew after the set of members changed.
-    fn rewire(&mut self, now: Time) {
-        if !self.table.take_moved() {
+    fn update_neighbours(&mut self, now: Time) {
+        if !self.table.take_live_changed() {
             return;
         }
         let live: Vec<&str> = self.table.live().map(|record| record.host.as_str()).collect();
@@ -440,7 +445,7 @@
         self.neighbours.retain(|host, _| chosen.contains(host));
         for host in chosen {
             if !self.neighbours.contains_key(&host) {
-                self.outbox.record(&self.own.host, None, std::iter::once(&host));
+                self.outbox.queue_record(&self.own.host, None, std::iter::once(&host));
                 self.neighbours.insert(host, Neighbour::open(now));
             }
         }
@@ -448,66 +453,66 @@
     }
 
     /// Asks after silent neighbours, and suspects those whom nobody reached.
-    fn accuse(&mut self, now: Time, random: &mut impl Rng, actions: &mut Vec<Action>) {
+    fn check_neighbours(&mut self, now: Time, random: &mut impl Rng, actions: &mut Vec<Action>) {
         let hosts: Vec<id::Host> = self.neighbours.keys().cloned().collect();
         for host in hosts {
             let Some(neighbour) = self.neighbours.get_mut(&host) else { continue };
-            match neighbour.verdict(now) {
-                neighbour::Verdict::Fine => {}
-                neighbour::Verdict::Ask => {
+            match neighbour.check(now) {
+                neighbour::Health::Healthy => {}
+                neighbour::Health::Probe => {
                     // A link that went silent for good while new ones work: replaced, and the
                     // member asked after through others that have links of their own.
-                    actions.push(Action::Replace(host.clone()));
-                    for through in ring::sample(random, self.neighbours.keys(), &host) {
+                    actions.push(Action::CloseLink(host.clone()));
+                    for relay in ring::probe_relays(random, self.neighbours.keys(), &host) {
                         let message = Message::Probe { target: host.clone() };
-                        actions.extend(self.send(&through, message));
+                        actions.extend(self.send(&relay, message));
                     }
                 }
-                neighbour::Verdict::Suspect => self.mark(now, &host, Status::Suspect),
+                neighbour::Health::Suspect => self.set_status(now, &host, Status::Suspect),
             }
         }
     }
 
-    fn mark(&mut self, now: Time, host: &id::Host, status: Status) {
+    fn set_status(&mut self, now: Time, host: &id::Host, status: Status) {
         let Some(record) = self.table.get(host) else { return };
         if record.status < status {
             let record = Record { status, ..record.clone() };
-            self.learn(now, None, &record);
+            self.apply_record(now, None, &record);
         }
     }
 
     /// Suspects that did not refute in time are dead; the dead are forgotten in the end.
-    fn bury(&mut self, now: Time) {
-        for host in self.table.overdue(now, SUSPICION) {
-            self.mark(now, &host, Status::Dead);
+    fn expire_suspects(&mut self, now: Time) {
+        for host in self.table.expired_suspects(now, SUSPICION_TIMEOUT) {
+            self.set_status(now, &host, Status::Dead);
         }
         let listed = &self.listed;
-        self.table.forget(now, FORGET, |host| listed.is_listed(host));
+        self.table.evict_dead(now, DEAD_TTL, |host| listed.is_listed(host));
     }
 
     /// Tries one dead host again: after a partition healed, nobody else would speak first.
-    fn retry(&mut self, now: Time, random: &mut impl Rng, actions: &mut Vec<Action>) {
-        if now.since(self.retried) < RETRY {
+    fn retry_dead(&mut self, now: Time, random: &mut impl Rng, actions: &mut Vec<Action>) {
+        if now.since(self.last_retry) < RETRY_INTERVAL {
             return;
         }
-        self.retried = now;
+        self.last_retry = now;
         let dead: Vec<id::Host> = self.table.dead().map(|record| record.host.clone()).collect();
         if dead.is_empty() {
             return;
         }
         let host = &dead[random.random_range(0..dead.len())];
         // The record travels along, so that the host learns that it is thought dead and refutes.
-        let mut beat = self.outline(false);
-        beat.records = self.table.get(host).cloned().into_iter().collect();
-        actions.extend(self.send(host, Message::Heartbeat(beat)));
+        let mut heartbeat = self.empty_heartbeat(false);
+        heartbeat.records = self.table.get(host).cloned().into_iter().collect();
+        actions.extend(self.send(host, Message::Heartbeat(heartbeat)));
     }
 
-    fn flush(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn send_heartbeats(&mut self, now: Time, actions: &mut Vec<Action>) {
         let hosts: Vec<id::Host> = self.neighbours.keys().cloned().collect();
         for host in hosts {
-            let pending = self.outbox.has(&host);
+            let pending = self.outbox.has_pending(&host);
             let Some(neighbour) = self.neighbours.get_mut(&host) else { continue };
-            if neighbour.take_due(now, pending, HEARTBEAT, FLUSH) {
+            if neighbour.take_due(now, pending, HEARTBEAT_INTERVAL, FLUSH_INTERVAL) {
                 let message = self.heartbeat(&host, false);
                 actions.extend(self.send(&host, message));
             }
@@ -515,9 +520,15 @@
     }
 
     /// Takes in part of a neighbour's table and asks for the next one.
-    fn page(&mut self, now: Time, from: &id::Host, records: &[Record], more: bool) -> Vec<Action> {
+    fn receive_page(
+        &mut self,
+        now: Time,
+        from: &id::Host,
+        records: &[Record],
+        more: bool,
+    ) -> Vec<Action> {
         for record in records.iter().take(MAX_RECORDS) {
-            self.learn(now, Some(from), record);
+            self.apply_record(now, Some(from), record);
         }
         match records.last() {
             Some(last) if more => self.send(from, Message::Sync { after: Some(last.host.clone()) }),
@@ -526,15 +537,15 @@
     }
 
     fn heartbeat(&mut self, to: &id::Host, reply: bool) -> Message {
-        let mut beat = self.outline(reply);
-        let news = self.outbox.take(to, MAX_RECORDS);
-        beat.records =
-            news.records.iter().filter_map(|host| self.table.get(host).cloned()).collect();
-        beat.notices = news.notices;
-        Message::Heartbeat(beat)
+        let mut heartbeat = self.empty_heartbeat(reply);
+        let pending = self.outbox.take(to, MAX_RECORDS);
+        heartbeat.records =
+            pending.records.iter().filter_map(|host| self.table.get(host).cloned()).collect();
+        heartbeat.notices = pending.notices;
+        Message::Heartbeat(heartbeat)
     }
 
-    fn outline(&mut self, reply: bool) -> Heartbeat {
+    fn empty_heartbeat(&mut self, reply: bool) -> Heartbeat {
         Heartbeat {
             table: self.table.hash(),
             stamp: self.stamp,
--- a/crates/policy/src/member/neighbour.rs
+++ b/crates/policy/src/member/neighbour.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use crate::member::{PROBE, SILENCE};
+use crate::member::{PROBE_TIMEOUT, SILENCE_TIMEOUT};
 use crate::time::Time;
 
 /// How long tables may differ before one is asked for: news in flight needs no repair.
-const DIFFERENCE: Duration = Duration::from_secs(3);
+const SYNC_DELAY: Duration = Duration::from_secs(3);
 
 /// Between two repairs of a difference that persists, so that a lasting one stays cheap.
-const REPAIR: Duration = Duration::from_secs(20);
+const SYNC_INTERVAL: Duration = Duration::from_secs(20);
 
 /// What to do about a neighbour's silence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum Health {
     /// Nothing.
-    Fine,
+    Healthy,
     /// Ask others after it.
-    Ask,
+    Probe,
     /// Nobody reached it.
     Suspect,
 }
@@ -25,76 +25,76 @@
 /// One neighbour.
 #[derive(Clone, Debug)]
 pub(crate) struct Neighbour {
-    heard: Time,
-    asked: Option<Time>,
-    beaten: Option<Time>,
-    flushed: bool,
-    differs: Option<Time>,
-    repaired: Option<Time>,
-    broken: bool,
+    last_received: Time,
+    probed_at: Option<Time>,
+    last_sent: Option<Time>,
+    flush_requested: bool,
+    differs_since: Option<Time>,
+    last_sync: Option<Time>,
+    unreachable: bool,
 }
 
 impl Neighbour {
     pub(crate) fn open(now: Time) -> Self {
         Self {
-            heard: now,
-            asked: None,
-            beaten: None,
-            flushed: false,
-            differs: None,
-            repaired: None,
-            broken: false,
+            last_received: now,
+            probed_at: None,
+            last_sent: None,
+            flush_requested: false,
+            differs_since: None,
+            last_sync: None,
+            unreachable: false,
         }
     }
 
-    pub(crate) fn heard(&mut self, now: Time) {
-        self.heard = now;
-        self.asked = None;
-        self.broken = false;
+    pub(crate) fn received(&mut self, now: Time) {
+        self.last_received = now;
+        self.probed_at = None;
+        self.unreachable = false;
     }
 
     /// Another member reached it: it has the time of one silence to be heard over a new link.
-    pub(crate) fn vouched(&mut self, now: Time) {
-        self.heard(now);
+    pub(crate) fn confirmed_alive(&mut self, now: Time) {
+        self.received(now);
     }
 
     /// Silence counts from now on only.
-    pub(crate) fn forgive(&mut self, now: Time) {
-        self.heard(now);
-        self.beaten = None;
+    pub(crate) fn reset_timers(&mut self, now: Time) {
+        self.received(now);
+        self.last_sent = None;
     }
 
     /// Its link broke: as good as a silence.
-    pub(crate) fn doubted(&mut self, now: Time) {
-        self.broken = true;
-        if self.asked.is_none() {
-            self.heard = self.heard.min(now - SILENCE);
+    pub(crate) fn link_failed(&mut self, now: Time) {
+        self.unreachable = true;
+        if self.probed_at.is_none() {
+            self.last_received = self.last_received.min(now - SILENCE_TIMEOUT);
         }
     }
 
-    pub(crate) fn is_broken(&self) -> bool {
-        self.broken
+    pub(crate) fn is_unreachable(&self) -> bool {
+        self.unreachable
     }
 
-    pub(crate) fn verdict(&mut self, now: Time) -> Verdict {
-        match self.asked {
-            None if now.since(self.heard) >= SILENCE => {
-                self.asked = Some(now);
-                Verdict::Ask
+    pub(crate) fn check(&mut self, now: Time) -> Health {
+        match self.probed_at {
+            None if now.since(self.last_received) >= SILENCE_TIMEOUT => {
+                self.probed_at = Some(now);
+                Health::Probe
             }
-            Some(asked) if now.since(asked) >= PROBE => Verdict::Suspect,
-            _ => Verdict::Fine,
+            Some(probed_at) if now.since(probed_at) >= PROBE_TIMEOUT => Health::Suspect,
+            _ => Health::Healthy,
         }
     }
 
     /// The next flush need not wait for the heartbeat.
-    pub(crate) fn hasten(&mut self) {
-        self.flushed = true;
+    pub(crate) fn request_flush(&mut self) {
+        self.flush_requested = true;
     }
 
     /// The next poll sends, whatever was sent just before.
-    pub(crate) fn hurry(&mut self) {
-        self.beaten = None;
+    pub(crate) fn send_immediately(&mut self) {
+        self.last_sent = None;
     }
 
     /// Whether to send now, with `pending` news to tell.
@@ -105,29 +105,29 @@
         heartbeat: Duration,
         flush: Duration,
     ) -> bool {
-        let wait = if pending || self.flushed { flush } else { heartbeat };
-        let due = self.beaten.is_none_or(|beaten| now.since(beaten) >= wait);
+        let wait = if pending || self.flush_requested { flush } else { heartbeat };
+        let due = self.last_sent.is_none_or(|last_sent| now.since(last_sent) >= wait);
         if due {
-            self.beaten = Some(now);
-            self.flushed = false;
+            self.last_sent = Some(now);
+            self.flush_requested = false;
         }
         due
     }
 
     /// Whether to ask for its table, given that the two differ or not; `at_once` for a process that
     /// knows nobody.
-    pub(crate) fn compare(&mut self, now: Time, differs: bool, at_once: bool) -> bool {
+    pub(crate) fn should_sync(&mut self, now: Time, differs: bool, at_once: bool) -> bool {
         if !differs {
-            self.differs = None;
+            self.differs_since = None;
             return false;
         }
-        let since = *self.differs.get_or_insert(now);
-        let lasting = at_once || now.since(since) >= DIFFERENCE;
-        let spared = self.repaired.is_some_and(|repaired| now.since(repaired) < REPAIR);
-        if !lasting || spared {
+        let since = *self.differs_since.get_or_insert(now);
+        let lasting = at_once || now.since(since) >= SYNC_DELAY;
+        let recent = self.last_sync.is_some_and(|last_sync| now.since(last_sync) < SYNC_INTERVAL);
+        if !lasting || recent {
             return false;
         }
-        self.repaired = Some(now);
+        self.last_sync = Some(now);
         true
     }
 }
--- a/crates/policy/src/member/outbox.rs
+++ b/crates/policy/src/member/outbox.rs
@@ -8,7 +8,7 @@
 
 /// News for one neighbour.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct Pending {
     /// Hosts whose records changed.
     pub(crate) records: BTreeSet<id::Host>,
     /// Changes of the published list.
@@ -18,17 +18,17 @@
 /// News by neighbour. Bounded: by the hosts known for records, and one notice a host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outbox {
-    by_host: BTreeMap<id::Host, News>,
+    by_host: BTreeMap<id::Host, Pending>,
 }
 
 impl Outbox {
     /// Whether a neighbour has news to come.
-    pub(crate) fn has(&self, to: &id::Host) -> bool {
+    pub(crate) fn has_pending(&self, to: &id::Host) -> bool {
         self.by_host.get(to).is_some_and(|n| !n.records.is_empty() || !n.notices.is_empty())
     }
 
     /// Queues the record of `about` for all but whoever told it.
-    pub(crate) fn record<'a>(
+    pub(crate) fn queue_record<'a>(
         &mut self,
         about: &id::Host,
         from: Option<&id::Host>,
@@ -40,7 +40,7 @@
     }
 
     /// Queues a notice for all but whoever told it.
-    pub(crate) fn notice<'a>(
+    pub(crate) fn queue_notice<'a>(
         &mut self,
         notice: Notice,
         from: Option<&id::Host>,
@@ -53,19 +53,19 @@
         }
     }
 
-    /// Takes at most `most` records and as many notices for one neighbour.
-    pub(crate) fn take(&mut self, to: &id::Host, most: usize) -> News {
-        let Some(news) = self.by_host.get_mut(to) else { return News::default() };
-        let rest = news.notices.split_off(news.notices.len().min(most));
-        let notices = std::mem::replace(&mut news.notices, rest);
+    /// Takes at most `limit` records and as many notices for one neighbour.
+    pub(crate) fn take(&mut self, to: &id::Host, limit: usize) -> Pending {
+        let Some(pending) = self.by_host.get_mut(to) else { return Pending::default() };
+        let rest = pending.notices.split_off(pending.notices.len().min(limit));
+        let notices = std::mem::replace(&mut pending.notices, rest);
         let mut records = BTreeSet::new();
-        while let Some(host) = news.records.pop_first() {
+        while let Some(host) = pending.records.pop_first() {
             records.insert(host);
-            if records.len() == most {
+            if records.len() == limit {
                 break;
             }
         }
-        News { records, notices }
+        Pending { records, notices }
     }
 
     /// Forgets news for those who are neighbours no more.
--- a/crates/policy/src/member/ring.rs
+++ b/crates/policy/src/member/ring.rs
@@ -14,20 +14,20 @@
 const RINGS: [&str; 3] = ["ring-0", "ring-1", "ring-2"];
 
 /// How many others are asked to probe a silent neighbour, as in SWIM.
-const PROBES: usize = 3;
+const PROBE_RELAYS: usize = 3;
 
 /// The neighbours of `own` among `members`, in order of names and each once.
 pub fn neighbours(own: &str, members: &[&str]) -> Vec<String> {
     let mut chosen: Vec<String> = Vec::with_capacity(RINGS.len() * 2);
     for ring in RINGS {
-        let place = |name: &str| (rendezvous::weight(ring, name), name.to_owned());
-        let here = place(own);
-        let mut places: Vec<(u64, String)> =
-            members.iter().filter(|name| **name != own).map(|name| place(name)).collect();
-        places.sort_unstable();
-        let after = places.partition_point(|other| *other < here);
-        let next = places.get(after).or(places.first());
-        let previous = places[..after].last().or(places.last());
+        let position = |name: &str| (rendezvous::weight(ring, name), name.to_owned());
+        let own_position = position(own);
+        let mut positions: Vec<(u64, String)> =
+            members.iter().filter(|name| **name != own).map(|name| position(name)).collect();
+        positions.sort_unstable();
+        let index = positions.partition_point(|other| *other < own_position);
+        let next = positions.get(index).or(positions.first());
+        let previous = positions[..index].last().or(positions.last());
         chosen.extend(next.into_iter().chain(previous).map(|(_, name)| name.clone()));
     }
     chosen.sort_unstable();
@@ -35,11 +35,11 @@
     chosen
 }
 
-/// A few of `hosts` that are not `besides`.
-pub(crate) fn sample<'a>(
+/// A few of `hosts` that are not `excluded`.
+pub(crate) fn probe_relays<'a>(
     random: &mut impl Rng,
     hosts: impl Iterator<Item = &'a id::Host>,
-    besides: &id::Host,
+    excluded: &id::Host,
 ) -> Vec<id::Host> {
-    hosts.filter(|host| *host != besides).cloned().choose_multiple(random, PROBES)
+    hosts.filter(|host| *host != excluded).cloned().choose_multiple(random, PROBE_RELAYS)
 }
--- a/crates/policy/src/member/table.rs
+++ b/crates/policy/src/member/table.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Table {
     rows: BTreeMap<id::Host, Row>,
     hash: u64,
-    moved: bool,
+    live_changed: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     }
 
     /// Whether nobody but this process was heard of yet.
-    pub(crate) fn is_alone(&self) -> bool {
+    pub(crate) fn knows_only_self(&self) -> bool {
         self.records().filter(|record| record.incarnation > 0).count() <= 1
     }
 
@@ -55,8 +55,8 @@
     }
 
     /// Whether somebody came to life or died since this was last asked.
-    pub(crate) fn take_moved(&mut self) -> bool {
-        std::mem::take(&mut self.moved)
+    pub(crate) fn take_live_changed(&mut self) -> bool {
+        std::mem::take(&mut self.live_changed)
     }
 
     /// Takes in a record if it is news.
@@ -66,9 +66,9 @@
             return false;
         }
         let dead = |record: &Record| record.status == Status::Dead;
-        let moved = before.is_none_or(|before| dead(before) != dead(record));
-        let change = before.map_or(0, share) ^ share(record);
-        self.moved |= moved;
+        let live_changed = before.is_none_or(|before| dead(before) != dead(record));
+        let change = before.map_or(0, record_hash) ^ record_hash(record);
+        self.live_changed |= live_changed;
         self.hash ^= change;
         self.rows.insert(record.host.clone(), Row { record: record.clone(), since: now });
         true
@@ -85,19 +85,19 @@
     }
 
     /// Suspects whose time to refute is over.
-    pub(crate) fn overdue(&self, now: Time, after: Duration) -> Vec<id::Host> {
-        let overdue =
+    pub(crate) fn expired_suspects(&self, now: Time, after: Duration) -> Vec<id::Host> {
+        let expired =
             |row: &&Row| row.record.status == Status::Suspect && now.since(row.since) >= after;
-        self.rows.values().filter(overdue).map(|row| row.record.host.clone()).collect()
+        self.rows.values().filter(expired).map(|row| row.record.host.clone()).collect()
     }
 
     /// Suspicions count from now on only.
-    pub(crate) fn forgive(&mut self, now: Time) {
+    pub(crate) fn restart_timers(&mut self, now: Time) {
         self.rows.values_mut().for_each(|row| row.since = now);
     }
 
     /// Forgets the dead that nobody lists any more.
-    pub(crate) fn forget(
+    pub(crate) fn evict_dead(
         &mut self,
         now: Time,
         after: Duration,
@@ -108,21 +108,21 @@
         });
     }
 
-    /// The records after `host` in the order of hosts, at most `most`, and whether more follow.
-    pub(crate) fn page(&self, after: Option<&id::Host>, most: usize) -> (Vec<Record>, bool) {
-        let heard = |record: &&Record| record.incarnation > 0 && record.status != Status::Dead;
+    /// The records after `host` in the order of hosts, at most `limit`, and whether more follow.
+    pub(crate) fn page(&self, after: Option<&id::Host>, limit: usize) -> (Vec<Record>, bool) {
+        let known = |record: &&Record| record.incarnation > 0 && record.status != Status::Dead;
         let rest = |record: &&Record| after.is_none_or(|after| record.host > *after);
         let mut records: Vec<Record> =
-            self.records().filter(heard).filter(rest).take(most + 1).cloned().collect();
-        let more = records.len() > most;
-        records.truncate(most);
+            self.records().filter(known).filter(rest).take(limit + 1).cloned().collect();
+        let more = records.len() > limit;
+        records.truncate(limit);
         (records, more)
     }
 }
 
 /// What a record adds to the hash: nothing for the dead and the unheard, about whom members may
 /// differ for long without harm.
-fn share(record: &Record) -> u64 {
+fn record_hash(record: &Record) -> u64 {
     if record.incarnation == 0 || record.status == Status::Dead {
         return 0;
     }
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -168,7 +168,7 @@
     assert!(fleet.nodes[4].membership.receive(now, &host(1), stale).is_empty());
     let actions = fleet.nodes[4].membership.poll(now, &mut random);
     assert!(!fleet.nodes[4].membership.is_trusted(), "it trusts what it knew before");
-    assert!(actions.contains(&Action::Reset), "it reads on what its links buffered");
+    assert!(actions.contains(&Action::CloseAllLinks), "it reads on what its links buffered");
     let probes = |a: &Action| matches!(a, Action::Send { message: Message::Probe { .. }, .. });
     assert!(!actions.iter().any(probes), "it accuses neighbours of its own silence");
     fleet.nodes[4].running = true;
