--- a/crates/daemon/src/connection/handshake.rs
+++ b/crates/daemon/src/connection/handshake.rs
@@ -29,7 +29,7 @@
     #[display("no answer in time; see whether the host is overloaded")]
     Silent,
     #[display("{_0}")]
-    Stranger(#[error(not(source))] proof::Stranger),
+    Stranger(#[error(not(source))] proof::VerifyError),
     #[display("{_0}")]
     Frame(#[error(not(source))] FrameError),
     #[display("an unexpected frame; run the same release on every entry host")]
@@ -89,13 +89,13 @@
         return Err(LinkError::Unexpected);
     };
     let ours = Challenge::new(rand::random());
-    let proof = proof::prove(&credentials.key, Role::Caller, ours, theirs, &credentials.host);
+    let proof = proof::prove(&credentials.key, Role::Dialer, ours, theirs, &credentials.host);
     let hello = Frame::Hello { host: credentials.host.clone(), challenge: ours, proof };
     send(&mut socket, &hello).await?;
     let Frame::Welcome { host, proof } = receive(&mut socket).await? else {
         return Err(LinkError::Unexpected);
     };
-    proof::check(&credentials.key, Role::Listener, ours, theirs, &host, &proof)
+    proof::verify(&credentials.key, Role::Listener, ours, theirs, &host, &proof)
         .map_err(LinkError::Stranger)?;
     match wanted {
         Some(wanted) if *wanted != host => {
@@ -120,7 +120,7 @@
     };
     // The failure: a stranger that reaches the port feeds the fleet a member list or a text of its
     // own. Nothing but the handshake is read before the key is proved.
-    proof::check(&credentials.key, Role::Caller, challenge, ours, &host, &proof)
+    proof::verify(&credentials.key, Role::Dialer, challenge, ours, &host, &proof)
         .map_err(LinkError::Stranger)?;
     let proof = proof::prove(&credentials.key, Role::Listener, challenge, ours, &credentials.host);
     send(&mut socket, &Frame::Welcome { host: credentials.host.clone(), proof }).await?;
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -120,7 +120,7 @@
     let Ok(Frame::Challenge(theirs)) = peer::decode(&bytes) else { panic!("no challenge") };
     let host: fireflyhoist_policy::id::Host = "x-2".parse().expect("a name");
     let ours = Challenge::new([1, 2]);
-    let proof = prove("a guess", Role::Caller, ours, theirs, &host);
+    let proof = prove("a guess", Role::Dialer, ours, theirs, &host);
     let hello = peer::encode(&Frame::Hello { host, challenge: ours, proof });
     socket.send(Message::binary(hello)).await.expect("sent");
     let answer = socket.next().await;
--- a/crates/policy/src/member/proof.rs
+++ b/crates/policy/src/member/proof.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The side that connected.
-    Caller,
+    Dialer,
     /// The side that listened.
     Listener,
 }
@@ -41,22 +41,22 @@
 /// The other side does not hold the key.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("peer does not prove the key; give both hosts the same `peer_key`, or find the stranger")]
-pub struct Stranger;
+pub struct VerifyError;
 
 fn mac(
     key: &str,
     role: Role,
-    caller: Challenge,
+    dialer: Challenge,
     listener: Challenge,
     host: &id::Host,
 ) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(key.as_bytes())
         .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
     mac.update(match role {
-        Role::Caller => b"fireflyhoist peer caller",
+        Role::Dialer => b"fireflyhoist peer caller",
         Role::Listener => b"fireflyhoist peer listen",
     });
-    for number in caller.0.into_iter().chain(listener.0) {
+    for number in dialer.0.into_iter().chain(listener.0) {
         mac.update(&number.to_be_bytes());
     }
     mac.update(host.as_str().as_bytes());
@@ -67,21 +67,21 @@
 pub fn prove(
     key: &str,
     role: Role,
-    caller: Challenge,
+    dialer: Challenge,
     listener: Challenge,
     host: &id::Host,
 ) -> Proof {
-    Proof(mac(key, role, caller, listener, host).finalize().into_bytes().to_vec())
+    Proof(mac(key, role, dialer, listener, host).finalize().into_bytes().to_vec())
 }
 
 /// Checks the answer of `host` in `role`, in constant time.
-pub fn check(
+pub fn verify(
     key: &str,
     role: Role,
-    caller: Challenge,
+    dialer: Challenge,
     listener: Challenge,
     host: &id::Host,
     proof: &Proof,
-) -> Result<(), Stranger> {
-    mac(key, role, caller, listener, host).verify_slice(&proof.0).map_err(|_| Stranger)
+) -> Result<(), VerifyError> {
+    mac(key, role, dialer, listener, host).verify_slice(&proof.0).map_err(|_| VerifyError)
 }
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::member::proof::{Challenge, Role, check, prove};
+use fireflyhoist_policy::member::proof::{Challenge, Role, prove, verify};
 use fireflyhoist_policy::member::{Action, Heartbeat, Message, Record, Status, ring};
 use fireflyhoist_standin::fleet::{Fleet, host, published};
 use proptest::prelude::*;
@@ -217,15 +217,15 @@
 #[test]
 fn only_the_key_answers_a_challenge() {
     let (a, b, c) = (Challenge::new([1, 2]), Challenge::new([3, 4]), Challenge::new([5, 6]));
-    let good = prove("key", Role::Caller, a, b, &host(1));
+    let good = prove("key", Role::Dialer, a, b, &host(1));
     let told = |key: &str, role, caller, listener, of| {
-        check(key, role, caller, listener, &host(of), &good).is_ok()
+        verify(key, role, caller, listener, &host(of), &good).is_ok()
     };
-    assert!(told("key", Role::Caller, a, b, 1));
-    assert!(!told("other", Role::Caller, a, b, 1), "another key");
-    assert!(!told("key", Role::Caller, a, c, 1), "played back on a new challenge");
+    assert!(told("key", Role::Dialer, a, b, 1));
+    assert!(!told("other", Role::Dialer, a, b, 1), "another key");
+    assert!(!told("key", Role::Dialer, a, c, 1), "played back on a new challenge");
     assert!(!told("key", Role::Listener, a, b, 1), "turned round");
-    assert!(!told("key", Role::Caller, a, b, 2), "under another name");
+    assert!(!told("key", Role::Dialer, a, b, 2), "under another name");
 }
 
 /// Bytes a member sends must not grow with the fleet; the slopes bench measures them in full.
