--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -12,7 +12,7 @@
 use fireflyhoist_policy::poison;
 use fireflyhoist_policy::position::Position;
 use fireflyhoist_policy::presence::Update;
-use fireflyhoist_policy::roster::Member;
+use fireflyhoist_policy::topology::Member;
 use fireflyhoist_policy::turn::Ask;
 use fireflyhoist_policy::unit::Tokens;
 use fireflyhoist_policy::witness::Outcome;
--- a/crates/gateway/src/connection/link.rs
+++ b/crates/gateway/src/connection/link.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::roster::Member;
+use fireflyhoist_policy::topology::Member;
 use futures_util::{Sink, SinkExt, Stream, StreamExt};
 use parking_lot::Mutex;
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! What entries know of each other, and who watches the registry for the others.
 //!
 //! Whoever answers on a link is alive, and tells whom it has links to; no list decides it. Which of
-//! those alive carry the traffic and who links to whom is `policy::roster`'s to say. What is held
+//! those alive carry the traffic and who links to whom is `policy::topology`'s to say. What is held
 //! at each target is summed along the links, each link carrying all that its sender knows but for
 //! what the receiver told it. `docs/PLATFORM.md` has the figures.
 
@@ -24,10 +24,10 @@
 use fireflyhoist_policy::newcomer::Order;
 use fireflyhoist_policy::outage::{self, Part};
 use fireflyhoist_policy::position::Position;
-use fireflyhoist_policy::presence::{Presence, Teller, Told, Update};
+use fireflyhoist_policy::presence::{Presence, Publisher, Subscriber, Update};
 use fireflyhoist_policy::rendezvous;
-use fireflyhoist_policy::roster::{self, Member};
 use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::topology::{self, Member};
 use fireflyhoist_policy::turn::Ask;
 use fireflyhoist_policy::version::Fetch;
 use fireflyhoist_text::transfer::Transfer;
@@ -63,7 +63,7 @@
     /// Since when it knows more of the targets.
     targets: Ahead,
     /// Whom it says to be alive.
-    told: Told,
+    told: Subscriber,
     used: Time,
 }
 
@@ -86,7 +86,7 @@
     peers: Mutex<HashMap<id::Host, Peer>>,
     view: Mutex<Arc<View>>,
     /// What this entry tells of who is alive.
-    teller: Mutex<Teller>,
+    teller: Mutex<Publisher>,
     /// Asks for a new view.
     stale: Notify,
     /// When each address was last dialled, and since when its link is missing.
@@ -357,9 +357,9 @@
         self.process.set_alive(alive.len());
         let alive: Vec<Presence> = alive.into_values().collect();
         let members: Vec<Member> = alive.iter().map(|p| p.member.clone()).collect();
-        let actives = roster::actives(&members);
+        let actives = topology::actives(&members);
         self.process.set_actives(actives.len());
-        let links = roster::links(&self.own, &actives).into_iter().cloned().collect();
+        let links = topology::links(&self.own, &actives).into_iter().cloned().collect();
         let actives: BTreeSet<id::Host> =
             actives.into_iter().map(|member| member.host.clone()).collect();
         self.process.set_order(Order::of(self.own.host.clone(), actives.iter().cloned().collect()));
@@ -391,7 +391,7 @@
             beat: None,
             text: Ahead::default(),
             targets: Ahead::default(),
-            told: Told::default(),
+            told: Subscriber::default(),
             used: self.now(),
         };
         self.peers.lock().insert(host.clone(), peer);
@@ -469,13 +469,13 @@
 
     /// Tells one entry the whole of what all others were told.
     fn tell_alive(&self, to: &id::Host) {
-        let whole = self.teller.lock().whole();
+        let whole = self.teller.lock().snapshot();
         self.links.send(to, &Frame::Alive(whole));
     }
 
     fn take_alive(&self, from: &id::Host, update: Update) {
         let taken = match self.peers.lock().get_mut(from) {
-            Some(peer) => peer.told.take(update),
+            Some(peer) => peer.told.apply(update),
             None => return,
         };
         match taken {
@@ -499,7 +499,7 @@
         linked.push(Presence { member: self.own.clone(), ready: self.process.is_ready() });
         let members: Vec<Member> = linked.iter().map(|one| one.member.clone()).collect();
         let told: BTreeSet<&id::Host> =
-            roster::told(&members).into_iter().map(|member| &member.host).collect();
+            topology::announced(&members).into_iter().map(|member| &member.host).collect();
         linked.retain(|one| told.contains(&one.member.host));
         linked
     }
--- a/crates/gateway/src/request/entries.rs
+++ b/crates/gateway/src/request/entries.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::roster::Member;
+use fireflyhoist_policy::topology::Member;
 use fireflyhoist_wire::caller::Entry;
 use ntex::http::{Request, Response};
 
--- a/crates/policy/src/presence.rs
+++ b/crates/policy/src/presence.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::id;
-use crate::roster::Member;
+use crate::topology::Member;
 
 /// A member that is alive, as one that has a link to it says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -53,46 +53,46 @@
 
 /// What one entry tells.
 #[derive(Clone, Debug, Default)]
-pub struct Teller {
+pub struct Publisher {
     number: u64,
-    told: BTreeMap<id::Host, Presence>,
+    published: BTreeMap<id::Host, Presence>,
 }
 
-impl Teller {
+impl Publisher {
     /// Takes in who is alive now; what to tell everyone that was told the list before.
     pub fn update(&mut self, alive: impl IntoIterator<Item = Presence>) -> Option<Update> {
         let alive: BTreeMap<id::Host, Presence> =
             alive.into_iter().map(|one| (one.member.host.clone(), one)).collect();
-        let differs = |one: &&Presence| self.told.get(&one.member.host) != Some(*one);
+        let differs = |one: &&Presence| self.published.get(&one.member.host) != Some(*one);
         let put: Vec<Presence> = alive.values().filter(differs).cloned().collect();
         let gone: Vec<id::Host> =
-            self.told.keys().filter(|host| !alive.contains_key(*host)).cloned().collect();
+            self.published.keys().filter(|host| !alive.contains_key(*host)).cloned().collect();
         if put.is_empty() && gone.is_empty() {
             return None;
         }
         let since = self.number;
         self.number += 1;
-        self.told = alive;
+        self.published = alive;
         Some(Update { since, number: self.number, put, gone })
     }
 
     /// The whole list, for an entry that was told nothing yet or has missed something.
-    pub fn whole(&self) -> Update {
-        let put = self.told.values().cloned().collect();
+    pub fn snapshot(&self) -> Update {
+        let put = self.published.values().cloned().collect();
         Update { since: 0, number: self.number, put, gone: Vec::new() }
     }
 }
 
 /// What one entry was told by another.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct Subscriber {
     number: u64,
     alive: BTreeMap<id::Host, Presence>,
 }
 
-impl Told {
+impl Subscriber {
     /// Takes in an update.
-    pub fn take(&mut self, update: Update) -> Result<(), GapError> {
+    pub fn apply(&mut self, update: Update) -> Result<(), GapError> {
         let Update { since, number, put, gone } = update;
         if since == 0 {
             self.alive.clear();
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/topology.rs
@@ -20,25 +20,25 @@
 
 /// Members up to which all are active: links among them are few enough, and each that callers may
 /// use is one more that can fail unnoticed.
-pub const SMALL: usize = 12;
+pub const MAX_ALL_ACTIVE: usize = 12;
 
 /// Actives of one failure domain at most; with five domains thirty entries link to each other.
-pub const MOST: usize = 6;
+pub const MAX_ACTIVES_PER_DOMAIN: usize = 6;
 
 /// Actives of one failure domain at least, so that one may fail unnoticed.
-pub const LEAST: usize = 2;
+pub const MIN_ACTIVES_PER_DOMAIN: usize = 2;
 
 /// Members of one failure domain that entries tell each other of: twice the actives and a few more,
 /// so that whoever takes the place of actives that are gone is known before, and lists don't grow
-/// with the fleet. More than [`SMALL`], or a large fleet would pass for a small one.
-pub const TOLD: usize = 16;
+/// with the fleet. More than [`MAX_ALL_ACTIVE`], or a large fleet would pass for a small one.
+pub const ANNOUNCED_PER_DOMAIN: usize = 16;
 
 /// Actives that an entry which is none links to.
-pub const PRIMARIES: usize = 2;
+pub const ACTIVES_PER_LEAF: usize = 2;
 
 /// The part of the strongest member's power that makes an active. Weaker ones would be loaded like
 /// it, since callers choose evenly, and slow down their share of the answers.
-const STRONG: f64 = 0.5;
+const MIN_RELATIVE_POWER: f64 = 0.5;
 
 /// An entry as it describes itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -57,22 +57,26 @@
 
 /// The active members among those that are alive, by host.
 pub fn actives(alive: &[Member]) -> Vec<&Member> {
-    if alive.len() <= SMALL {
+    if alive.len() <= MAX_ALL_ACTIVE {
         return alive.iter().collect();
     }
     let strongest = alive.iter().map(|member| member.power).fold(0.0, f64::max);
-    let strong = |m: &&&Member| m.power >= strongest * STRONG;
+    let strong = |m: &&&Member| m.power >= strongest * MIN_RELATIVE_POWER;
     let mut actives = Vec::new();
     for ranked in ranked(alive) {
-        let count = ranked.iter().filter(strong).count().clamp(LEAST, MOST);
+        let count = ranked
+            .iter()
+            .filter(strong)
+            .count()
+            .clamp(MIN_ACTIVES_PER_DOMAIN, MAX_ACTIVES_PER_DOMAIN);
         actives.extend(ranked.into_iter().take(count));
     }
     actives
 }
 
-/// Those of the members that entries tell each other of: the first [`TOLD`] of each failure domain.
-pub fn told(alive: &[Member]) -> Vec<&Member> {
-    ranked(alive).flat_map(|ranked| ranked.into_iter().take(TOLD)).collect()
+/// Those of the members that entries tell each other of: the first [`ANNOUNCED_PER_DOMAIN`] of each failure domain.
+pub fn announced(alive: &[Member]) -> Vec<&Member> {
+    ranked(alive).flat_map(|ranked| ranked.into_iter().take(ANNOUNCED_PER_DOMAIN)).collect()
 }
 
 /// The members of each failure domain, those that are to be active first.
@@ -96,10 +100,10 @@
     if actives.iter().any(|active| active.host == own.host) {
         return actives.iter().filter(|active| active.host != own.host).copied().collect();
     }
-    let near: Vec<&'a Member> =
+    let local: Vec<&'a Member> =
         actives.iter().filter(|active| active.domain == own.domain).copied().collect();
-    let from = if near.is_empty() { actives.to_vec() } else { near };
+    let candidates = if local.is_empty() { actives.to_vec() } else { local };
     // Each leaf ranks for itself, so that the leaves of a domain spread over its actives.
-    let ranked = rendezvous::rank(own.host.as_str(), &from, |active| active.host.as_str());
-    ranked.into_iter().take(PRIMARIES).copied().collect()
+    let ranked = rendezvous::rank(own.host.as_str(), &candidates, |active| active.host.as_str());
+    ranked.into_iter().take(ACTIVES_PER_LEAF).copied().collect()
 }
--- a/crates/policy/tests/directory.rs
+++ b/crates/policy/tests/directory.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::presence::{Presence, Teller, Told};
-use fireflyhoist_policy::roster::{self, Member};
+use fireflyhoist_policy::presence::{Presence, Publisher, Subscriber};
+use fireflyhoist_policy::topology::{self, Member};
 use yare::parameterized;
 
 const ENTRIES: usize = 195;
@@ -32,9 +32,9 @@
 
 #[derive(Default)]
 struct Entry {
-    teller: Teller,
+    publisher: Publisher,
     /// Whom it has links to, and what each tells it.
-    links: BTreeMap<usize, Told>,
+    links: BTreeMap<usize, Subscriber>,
     named: BTreeSet<id::Host>,
 }
 
@@ -53,12 +53,12 @@
         let entries = (0..ENTRIES).map(|_| Entry::default()).collect();
         let mut world = Self { entries, ended: BTreeMap::new(), look: 0, lonely };
         let all: Vec<Member> = (0..ENTRIES).map(member).collect();
-        let actives = roster::actives(&all);
+        let actives = topology::actives(&all);
         let numbers: BTreeMap<&id::Host, usize> =
             all.iter().enumerate().map(|(n, member)| (&member.host, n)).collect();
         for (n, own) in all.iter().enumerate() {
             let mut links: Vec<usize> =
-                roster::links(own, &actives).iter().map(|other| numbers[&other.host]).collect();
+                topology::links(own, &actives).iter().map(|other| numbers[&other.host]).collect();
             if world.lonely.contains(&n) {
                 links.truncate(1);
             }
@@ -89,25 +89,26 @@
             lost.iter().for_each(|other| _ = self.entries[n].links.remove(other));
             let linked: Vec<Member> =
                 self.entries[n].links.keys().copied().chain([n]).map(member).collect();
-            let told = roster::told(&linked);
+            let told = topology::announced(&linked);
             let told = told.into_iter().map(|m| Presence { member: m.clone(), ready: true });
-            let Some(update) = self.entries[n].teller.update(told) else { continue };
-            let whole = self.entries[n].teller.whole();
+            let Some(update) = self.entries[n].publisher.update(told) else { continue };
+            let snapshot = self.entries[n].publisher.snapshot();
             for other in self.entries[n].links.keys().copied().collect::<Vec<_>>() {
                 let Some(known) = self.entries[other].links.get_mut(&n) else { continue };
-                if known.take(update.clone()).is_err() {
-                    known.take(whole.clone()).expect("a whole list follows nothing");
+                if known.apply(update.clone()).is_err() {
+                    known.apply(snapshot.clone()).expect("a snapshot list follows nothing");
                 }
             }
         }
         for n in 0..ENTRIES {
             let entry = &self.entries[n];
-            let told = entry.links.values().flat_map(Told::alive).map(|one| one.member.clone());
+            let told =
+                entry.links.values().flat_map(Subscriber::alive).map(|one| one.member.clone());
             let linked = entry.links.keys().copied().chain([n]).map(member);
             let mut alive: Vec<Member> = told.chain(linked).collect();
             alive.sort_by(|a, b| a.host.cmp(&b.host));
             alive.dedup_by(|a, b| a.host == b.host);
-            let named = roster::actives(&alive).into_iter().map(|one| one.host.clone()).collect();
+            let named = topology::actives(&alive).into_iter().map(|one| one.host.clone()).collect();
             self.entries[n].named = named;
         }
     }
--- a/crates/policy/tests/roster.rs
+++ b/crates/policy/tests/topology.rs
@@ -1,6 +1,8 @@
-//! Pattern: many small hosts beside a few larger ones; see `policy::roster`.
+//! Pattern: many small hosts beside a few larger ones; see `policy::topology`.
 
-use fireflyhoist_policy::roster::{LEAST, Member, PRIMARIES, actives, links};
+use fireflyhoist_policy::topology::{
+    ACTIVES_PER_LEAF, MIN_ACTIVES_PER_DOMAIN, Member, actives, links,
+};
 
 fn member(n: usize, domain: usize, power: f64) -> Member {
     Member {
@@ -48,7 +50,7 @@
     let (now, then) = (actives(&alive), actives(&turned));
     assert_eq!(names(&now), names(&then));
     let near = now.iter().filter(|member| member.domain.as_str() == "d-1").count();
-    assert_eq!((near, now.len()), (LEAST, 6));
+    assert_eq!((near, now.len()), (MIN_ACTIVES_PER_DOMAIN, 6));
 }
 
 /// Links must not grow with the square of the fleet: a leaf has two, an active those to actives and
@@ -60,7 +62,7 @@
     let mut leaves = [0; 6];
     for leaf in &fleet[6..] {
         let to = links(leaf, &actives);
-        assert_eq!(to.len(), PRIMARIES);
+        assert_eq!(to.len(), ACTIVES_PER_LEAF);
         assert!(to.iter().all(|active| active.domain == leaf.domain));
         leaves[names(&to[..1])[0][2..].parse::<usize>().expect("a number")] += 1;
     }
@@ -73,5 +75,5 @@
 fn a_domain_without_actives_links_elsewhere() {
     let lone = member(99, 7, 0.1);
     let fleet = fleet();
-    assert_eq!(links(&lone, &actives(&fleet)).len(), PRIMARIES);
+    assert_eq!(links(&lone, &actives(&fleet)).len(), ACTIVES_PER_LEAF);
 }
