--- a/crates/gateway/src/process/fleet/beat.rs
+++ b/crates/gateway/src/process/fleet/beat.rs
@@ -4,7 +4,7 @@
 
 use fireflyhoist_policy::heartbeat::{self, Schedule};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::witness::Observer;
+use fireflyhoist_policy::observation::Observer;
 use ntex::time::sleep;
 
 use crate::connection::frame::{Beat, Ending, Frame, Held};
--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -12,9 +12,9 @@
 };
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::newcomer::Order;
+use fireflyhoist_policy::observation::{self, Observer};
 use fireflyhoist_policy::retry;
 use fireflyhoist_policy::unit::Tokens;
-use fireflyhoist_policy::witness::{self, Observer};
 use parking_lot::Mutex;
 use smol_str::{SmolStr, format_smolstr};
 use tokio::sync::oneshot;
@@ -62,12 +62,12 @@
     }
 
     /// Takes in how a request of another entry ended at a target; see [`Gate::hear`].
-    pub fn hear(&self, target: &id::Target, from: Observer, outcome: witness::Outcome) {
+    pub fn hear(&self, target: &id::Target, from: Observer, outcome: observation::Outcome) {
         self.state.lock().gate.hear(self.clock.now(), target, from, outcome);
     }
 
     /// How requests ended, as far as other entries should hear of it.
-    pub fn take_endings(&self) -> Vec<(id::Target, witness::Outcome)> {
+    pub fn take_endings(&self) -> Vec<(id::Target, observation::Outcome)> {
         self.state.lock().gate.take_endings()
     }
 
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -6,8 +6,8 @@
 
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::{self, Change, Target};
+use fireflyhoist_policy::observation::Observer;
 use fireflyhoist_policy::position::Position;
-use fireflyhoist_policy::witness::Observer;
 use tokio::sync::watch;
 
 use crate::connection::frame::Ending;
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -22,6 +22,7 @@
 use crate::late;
 use crate::length::{Book, Mark};
 use crate::newcomer::Order;
+use crate::observation::{Observer, Outcome as Ending};
 use crate::outlier::{Detector, Ejection, Sample};
 use crate::placement::Candidate;
 use crate::queue::{BOUND, Item, Queue};
@@ -30,7 +31,6 @@
 use crate::time::Time;
 use crate::unit::Tokens;
 use crate::usage::Usage;
-use crate::witness::{Observer, Outcome as Ending};
 
 pub use carry::Holding;
 pub use settings::Settings;
--- a/crates/policy/src/witness.rs
+++ b/crates/policy/src/observation.rs
@@ -19,17 +19,17 @@
 
 /// How long after a failure others have had the time to say that the target answers them: to hear of
 /// it, to be answered by one that is met several times a second, and to say so.
-pub const HEARD: Duration = Duration::from_secs(1);
+pub const CONFIRMATION_DELAY: Duration = Duration::from_secs(1);
 
 /// Failures of different entries, with no answer after the first, that condemn a target.
-const ENOUGH: usize = 2;
+const QUORUM: usize = 2;
 
 /// Outcomes that are kept for one target; a busy one has enough of them within a fraction of
 /// [`WINDOW`].
-const MOST: usize = 64;
+const MAX_OBSERVATIONS: usize = 64;
 
 /// Between two words that a target answers: enough to outweigh single failures.
-const SAID: Duration = Duration::from_millis(300);
+const SHARE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Whose word an outcome is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Word {
+struct Observation {
     at: Time,
     /// `None` for this entry's own.
     observer: Option<Observer>,
@@ -59,65 +59,77 @@
 
 /// Outcomes at one target, by all entries.
 #[derive(Clone, Debug, Default)]
-pub struct Witnesses {
-    words: VecDeque<Word>,
-    said: Option<Time>,
+pub struct Observations {
+    observations: VecDeque<Observation>,
+    last_shared: Option<Time>,
 }
 
-impl Witnesses {
+impl Observations {
     /// Takes in an outcome of this entry; whether the others should hear of it.
     ///
     /// Only requests that begin to be answered count as answered: a target that fails whatever is
     /// new may go on with what it runs.
-    pub fn see(&mut self, now: Time, outcome: Outcome) -> bool {
-        self.forget(now);
-        let failing = self.words.iter().any(|word| word.outcome == Outcome::Failed);
+    pub fn record_own(&mut self, now: Time, outcome: Outcome) -> bool {
+        self.evict_expired(now);
+        let has_failures =
+            self.observations.iter().any(|observation| observation.outcome == Outcome::Failed);
         if outcome == Outcome::Answered {
-            if !failing || self.said.is_some_and(|said| now.since(said) < SAID) {
+            if !has_failures
+                || self
+                    .last_shared
+                    .is_some_and(|last_shared| now.since(last_shared) < SHARE_INTERVAL)
+            {
                 return false;
             }
-            self.said = Some(now);
+            self.last_shared = Some(now);
         }
-        self.push(Word { at: now, observer: None, outcome });
+        self.push(Observation { at: now, observer: None, outcome });
         true
     }
 
     /// Takes in an outcome of another entry.
-    pub fn hear(&mut self, now: Time, observer: Observer, outcome: Outcome) {
-        self.forget(now);
-        self.push(Word { at: now, observer: Some(observer), outcome });
+    pub fn record_peer(&mut self, now: Time, observer: Observer, outcome: Outcome) {
+        self.evict_expired(now);
+        self.push(Observation { at: now, observer: Some(observer), outcome });
     }
 
     /// Whether different entries saw it fail, and none was answered since.
-    pub fn condemn(&self, now: Time) -> bool {
-        let counts = |word: &&Word| word.outcome == Outcome::Failed && now.since(word.at) <= WINDOW;
-        let failed: Vec<&Word> = self.words.iter().rev().take_while(counts).collect();
-        let first = failed.last().map(|word| word.at);
-        if failed.len() < ENOUGH || first.is_none_or(|first| now.since(first) < HEARD) {
+    pub fn is_failing(&self, now: Time) -> bool {
+        let counts = |observation: &&Observation| {
+            observation.outcome == Outcome::Failed && now.since(observation.at) <= WINDOW
+        };
+        let failed: Vec<&Observation> = self.observations.iter().rev().take_while(counts).collect();
+        let first = failed.last().map(|observation| observation.at);
+        if failed.len() < QUORUM || first.is_none_or(|first| now.since(first) < CONFIRMATION_DELAY)
+        {
             return false;
         }
-        let own = failed.iter().any(|word| word.observer.is_none());
-        let observers = || failed.iter().filter_map(|word| word.observer.as_ref());
+        let own = failed.iter().any(|observation| observation.observer.is_none());
+        let observers = || failed.iter().filter_map(|observation| observation.observer.as_ref());
         let others: BTreeSet<&id::Host> = observers().map(|observer| &observer.host).collect();
         let domains: BTreeSet<&id::Domain> = observers().map(|observer| &observer.domain).collect();
-        if own { !others.is_empty() } else { others.len() >= ENOUGH && domains.len() >= ENOUGH }
+        if own { !others.is_empty() } else { others.len() >= QUORUM && domains.len() >= QUORUM }
     }
 
     /// Whether anything is known.
     pub fn is_empty(&self) -> bool {
-        self.words.is_empty()
+        self.observations.is_empty()
     }
 
-    fn push(&mut self, word: Word) {
-        if self.words.len() == MOST {
-            self.words.pop_front();
+    fn push(&mut self, observation: Observation) {
+        if self.observations.len() == MAX_OBSERVATIONS {
+            self.observations.pop_front();
         }
-        self.words.push_back(word);
+        self.observations.push_back(observation);
     }
 
-    fn forget(&mut self, now: Time) {
-        while self.words.front().is_some_and(|word| now.since(word.at) > WINDOW) {
-            self.words.pop_front();
+    fn evict_expired(&mut self, now: Time) {
+        while self
+            .observations
+            .front()
+            .is_some_and(|observation| now.since(observation.at) > WINDOW)
+        {
+            self.observations.pop_front();
         }
     }
 }
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -22,8 +22,8 @@
 use derive_more::Display;
 
 use crate::id;
+use crate::observation::{Observations, Observer, Outcome};
 use crate::time::Time;
-use crate::witness::{Observer, Outcome, Witnesses};
 
 /// How many times the median of its peers a slow target's latency is.
 pub const SLOW: f64 = 3.0;
@@ -86,7 +86,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Track {
-    witnesses: Witnesses,
+    witnesses: Observations,
     latency: f64,
     samples: u32,
     failures: u32,
@@ -98,7 +98,7 @@
 
 impl Track {
     fn is_failing(&self, now: Time) -> bool {
-        self.failures >= FAILURES || self.witnesses.condemn(now)
+        self.failures >= FAILURES || self.witnesses.is_failing(now)
     }
 
     fn is_out(&self, now: Time) -> bool {
@@ -184,7 +184,7 @@
             return;
         }
         track.record(sample);
-        if sample == Sample::Failed && track.witnesses.see(now, Outcome::Failed) {
+        if sample == Sample::Failed && track.witnesses.record_own(now, Outcome::Failed) {
             self.news.push((target.clone(), Outcome::Failed));
         }
         self.judge(now, target);
@@ -193,7 +193,7 @@
     /// Notes that a target has begun to answer a request.
     pub fn answered(&mut self, now: Time, target: &id::Target) {
         let Some(track) = self.tracks.get_mut(target) else { return };
-        if track.witnesses.see(now, Outcome::Answered) {
+        if track.witnesses.record_own(now, Outcome::Answered) {
             self.news.push((target.clone(), Outcome::Answered));
         }
     }
@@ -204,7 +204,7 @@
         if track.is_out(now) {
             return;
         }
-        track.witnesses.hear(now, observer, outcome);
+        track.witnesses.record_peer(now, observer, outcome);
         self.judge(now, target);
     }
 
--- a/crates/policy/tests/witness.rs
+++ b/crates/policy/tests/observation.rs
@@ -1,12 +1,12 @@
 //! Pattern: many entries before a target that takes connections and fails what is sent; see
-//! `policy::witness`.
+//! `policy::observation`.
 
 use std::time::Duration;
 
 use fireflyhoist_policy::id::Target;
+use fireflyhoist_policy::observation::{CONFIRMATION_DELAY, Observer, Outcome, WINDOW};
 use fireflyhoist_policy::outlier::{Detector, Sample};
 use fireflyhoist_policy::time::Time;
-use fireflyhoist_policy::witness::{HEARD, Observer, Outcome, WINDOW};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -19,10 +19,10 @@
 const LOOKUPS: usize = 5;
 
 /// Between two requests of the whole fleet.
-const BETWEEN: Duration = Duration::from_millis(18);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(18);
 
 /// Between two heartbeats, which carry what each saw to the others.
-const BEAT: Duration = Duration::from_millis(150);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 const ANSWERED: Sample = Sample::Latency(Duration::from_millis(20));
 
@@ -45,7 +45,7 @@
     targets: usize,
     detectors: Vec<Detector>,
     now: Duration,
-    beat: Duration,
+    next_heartbeat: Duration,
     random: StdRng,
 }
 
@@ -61,18 +61,18 @@
             targets,
             detectors: (0..ENTRIES).map(open).collect(),
             now: Duration::from_secs(1),
-            beat: Duration::ZERO,
+            next_heartbeat: Duration::ZERO,
             random: StdRng::seed_from_u64(7),
         }
     }
 
-    fn share(&mut self) {
+    fn share_outcomes(&mut self) {
         self.detectors.iter_mut().for_each(|detector| detector.poll(at(self.now)));
-        for teller in 0..ENTRIES {
-            for (target, outcome) in self.detectors[teller].take_news() {
+        for sender in 0..ENTRIES {
+            for (target, outcome) in self.detectors[sender].take_news() {
                 for (nth, detector) in self.detectors.iter_mut().enumerate() {
-                    if nth != teller {
-                        detector.hear(at(self.now), &target, observer(teller), outcome);
+                    if nth != sender {
+                        detector.hear(at(self.now), &target, observer(sender), outcome);
                     }
                 }
             }
@@ -85,10 +85,10 @@
         let end = self.now + span;
         let mut failed = 0;
         while self.now < end {
-            self.now += BETWEEN;
-            if self.now >= self.beat {
-                self.beat = self.now + BEAT;
-                self.share();
+            self.now += REQUEST_INTERVAL;
+            if self.now >= self.next_heartbeat {
+                self.next_heartbeat = self.now + HEARTBEAT_INTERVAL;
+                self.share_outcomes();
             }
             let entry = self.random.random_range(0..ENTRIES);
             let now = at(self.now);
@@ -111,8 +111,8 @@
 
     /// How many entries use a target no more.
     fn ejected(&self, n: usize) -> usize {
-        let out = |detector: &&Detector| detector.weight(at(self.now), &target(n)) == 0.0;
-        self.detectors.iter().filter(out).count()
+        let is_out = |detector: &&Detector| detector.weight(at(self.now), &target(n)) == 0.0;
+        self.detectors.iter().filter(is_out).count()
     }
 }
 
@@ -169,13 +169,13 @@
     detector.set_targets(&[target(0), target(1), target(2), target(3)]);
     let now = at(WINDOW);
     detector.hear(now, &target(0), observer(1), Outcome::Failed);
-    detector.hear(now + HEARD / 2, &target(0), observer(2), Outcome::Failed);
-    assert_eq!(detector.weight(now + HEARD / 2, &target(0)), 1.0);
-    detector.hear(now + HEARD, &target(0), observer(4), Outcome::Answered);
-    detector.hear(now + HEARD * 2, &target(0), observer(3), Outcome::Failed);
-    assert_eq!(detector.weight(now + HEARD * 2, &target(0)), 1.0);
-    detector.hear(now + HEARD * 4, &target(0), observer(1), Outcome::Failed);
-    assert_eq!(detector.weight(now + HEARD * 4, &target(0)), 0.0);
+    detector.hear(now + CONFIRMATION_DELAY / 2, &target(0), observer(2), Outcome::Failed);
+    assert_eq!(detector.weight(now + CONFIRMATION_DELAY / 2, &target(0)), 1.0);
+    detector.hear(now + CONFIRMATION_DELAY, &target(0), observer(4), Outcome::Answered);
+    detector.hear(now + CONFIRMATION_DELAY * 2, &target(0), observer(3), Outcome::Failed);
+    assert_eq!(detector.weight(now + CONFIRMATION_DELAY * 2, &target(0)), 1.0);
+    detector.hear(now + CONFIRMATION_DELAY * 4, &target(0), observer(1), Outcome::Failed);
+    assert_eq!(detector.weight(now + CONFIRMATION_DELAY * 4, &target(0)), 0.0);
 }
 
 /// Guards against failures of long ago that count with one of now.
@@ -186,7 +186,12 @@
     detector.hear(at(WINDOW), &target(0), observer(1), Outcome::Failed);
     detector.hear(at(WINDOW * 3), &target(0), observer(2), Outcome::Failed);
     assert_eq!(detector.weight(at(WINDOW * 3), &target(0)), 1.0);
-    detector.hear(at(WINDOW * 3) + HEARD / 2, &target(0), observer(3), Outcome::Failed);
+    detector.hear(
+        at(WINDOW * 3) + CONFIRMATION_DELAY / 2,
+        &target(0),
+        observer(3),
+        Outcome::Failed,
+    );
     detector.poll(at(WINDOW * 5));
     assert_eq!(detector.weight(at(WINDOW * 5), &target(0)), 1.0);
 }
