--- a/crates/gateway/src/process/fleet/beat.rs
+++ b/crates/gateway/src/process/fleet/beat.rs
@@ -90,14 +90,14 @@
                 () = self.process.sent() => true,
             };
             if news {
-                sleep(heartbeat::PROMPT).await;
+                sleep(heartbeat::COALESCE_DELAY).await;
                 self.beat_to_actives();
             }
-            let Some(beat) = schedule.take(self.now()) else { continue };
-            if self.is_active() || beat == heartbeat::Beat::All {
+            let Some(beat) = schedule.take_due(self.now()) else { continue };
+            if self.is_active() || beat == heartbeat::Recipients::All {
                 self.beat_to_actives();
             }
-            if beat == heartbeat::Beat::All {
+            if beat == heartbeat::Recipients::All {
                 self.beat_to_leaves();
             }
             self.process.report();
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -234,7 +234,7 @@
             return Peers::None;
         }
         let informed = peers.values().any(|peer| peer.beat.as_ref().is_some_and(&has));
-        if informed { Peers::Informed } else { Peers::Blank }
+        if informed { Peers::Informed } else { Peers::Uninformed }
     }
 
     /// Whether neither this entry nor any that it has a link to hears of targets.
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fireflyhoist_gateway::Gateway;
-use fireflyhoist_policy::bootstrap::TRANSFER;
+use fireflyhoist_policy::bootstrap::TRANSFER_GRACE;
 use fireflyhoist_policy::route::Kind;
 use fireflyhoist_standin::registry::{Mood, Registry};
 use support::caller::Request;
@@ -104,7 +104,7 @@
     let second = unready(registry.address(), "second", &[seed.peers()]).await;
     tokio::join!(put, until_ready(&second));
     // Before it would read the registry itself.
-    assert!(began.elapsed() < TRANSFER, "after {:?}", began.elapsed());
+    assert!(began.elapsed() < TRANSFER_GRACE, "after {:?}", began.elapsed());
 }
 
 /// Guards against refusing callers that come in the moment in which an entry is told what it needs.
--- a/crates/policy/src/bootstrap.rs
+++ b/crates/policy/src/bootstrap.rs
@@ -4,7 +4,7 @@
 //! seeds read at once. The others link to them first and read only if nobody tells them, each after
 //! a wait by which few do ([`suppress`]).
 //!
-//! Nothing depends on one entry: seeds that hang or can't read delay the others by [`WINDOW`] at
+//! Nothing depends on one entry: seeds that hang or can't read delay the others by [`READ_DEADLINE`] at
 //! most, and whoever reads first tells the seeds, which tell the rest.
 
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use crate::time::Time;
 
 /// Within which time somebody reads where no seed can.
-pub const WINDOW: Duration = Duration::from_secs(3);
+pub const READ_DEADLINE: Duration = Duration::from_secs(3);
 
 /// How much longer one waits whose peer has what it needs: a large text on a narrow link takes
 /// seconds, and a second copy would not come sooner.
-pub const TRANSFER: Duration = Duration::from_secs(2);
+pub const TRANSFER_GRACE: Duration = Duration::from_secs(2);
 
 /// How long an entry without any link waits at least: seeds that started with it take this long to
 /// listen and greet.
-const ALONE: Duration = Duration::from_millis(600);
+const UNLINKED_DELAY: Duration = Duration::from_millis(600);
 
 /// Over how long the readings of entries without links are spread.
-const ALONE_SPREAD: Duration = Duration::from_millis(600);
+const UNLINKED_SPREAD: Duration = Duration::from_millis(600);
 
 /// What the peers of a starting entry can do for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// No link is open.
     None,
     /// Those that are linked know nothing either.
-    Blank,
+    Uninformed,
     /// One of them has what is missing here.
     Informed,
 }
@@ -40,39 +40,39 @@
 /// The time until one starting entry reads the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct Bootstrap {
-    began: Time,
-    waits: Option<Waits>,
+    started_at: Time,
+    delays: Option<Delays>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waits {
+struct Delays {
     linked: Duration,
-    alone: Duration,
+    unlinked: Duration,
 }
 
 impl Bootstrap {
     /// For an entry that others link to first, or that knows of no other.
     pub fn seed(now: Time) -> Self {
-        Self { began: now, waits: None }
+        Self { started_at: now, delays: None }
     }
 
     /// For any other entry, with a number drawn evenly from 0 to 1.
     pub fn member(now: Time, draw: f64) -> Self {
-        let waits = Waits {
-            linked: suppress::wait(WINDOW, draw),
-            alone: ALONE + ALONE_SPREAD.mul_f64(draw),
+        let delays = Delays {
+            linked: suppress::wait(READ_DEADLINE, draw),
+            unlinked: UNLINKED_DELAY + UNLINKED_SPREAD.mul_f64(draw),
         };
-        Self { began: now, waits: Some(waits) }
+        Self { started_at: now, delays: Some(delays) }
     }
 
     /// Whether to read now what nobody has told yet.
     pub fn is_due(&self, now: Time, peers: Peers) -> bool {
-        let Some(waits) = self.waits else { return true };
-        let wait = match peers {
-            Peers::None => waits.alone,
-            Peers::Blank => waits.linked,
-            Peers::Informed => waits.linked + TRANSFER,
+        let Some(delays) = self.delays else { return true };
+        let delay = match peers {
+            Peers::None => delays.unlinked,
+            Peers::Uninformed => delays.linked,
+            Peers::Informed => delays.linked + TRANSFER_GRACE,
         };
-        now.since(self.began) >= wait
+        now.since(self.started_at) >= delay
     }
 }
--- a/crates/policy/src/heartbeat.rs
+++ b/crates/policy/src/heartbeat.rs
@@ -17,20 +17,20 @@
 
 /// Time between heartbeats of actives. What is held at each engine is at most this old plus the
 /// way, so that two entries rarely fill the same room; a prompt takes longer to be read.
-pub const BEAT: Duration = Duration::from_millis(150);
+pub const INTERVAL: Duration = Duration::from_millis(150);
 
 /// How soon the others hear of a generation that was sent; those sent meanwhile go along.
 ///
 /// The failure: within one heartbeat several entries fill the same room of an engine, which then
 /// preempts what it began. A heartbeat of its own for each costs a few frames a second.
-pub const PROMPT: Duration = Duration::from_millis(15);
+pub const COALESCE_DELAY: Duration = Duration::from_millis(15);
 
 /// Heartbeats of actives for each one between an active and a leaf, which carries little traffic.
-const LEAF_BEATS: u32 = 2;
+const LEAF_DIVISOR: u32 = 2;
 
 /// Whom a heartbeat goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beat {
+pub enum Recipients {
     /// The actives.
     Actives,
     /// The actives, and the leaves as well.
@@ -45,9 +45,9 @@
 }
 
 impl Schedule {
-    /// Begins with a heartbeat one [`BEAT`] from now.
+    /// Begins with a heartbeat one [`INTERVAL`] from now.
     pub fn open(now: Time) -> Self {
-        Self { due: now + BEAT, count: 0 }
+        Self { due: now + INTERVAL, count: 0 }
     }
 
     /// How long no heartbeat is due.
@@ -57,14 +57,18 @@
 
     /// The heartbeat that is due now, if one is.
     ///
-    /// After a pause of the process the next one is due a whole [`BEAT`] later: the ones that were
+    /// After a pause of the process the next one is due a whole [`INTERVAL`] later: the ones that were
     /// missed would all say the same.
-    pub fn take(&mut self, now: Time) -> Option<Beat> {
+    pub fn take_due(&mut self, now: Time) -> Option<Recipients> {
         if now < self.due {
             return None;
         }
-        self.due = now + BEAT;
+        self.due = now + INTERVAL;
         self.count = self.count.wrapping_add(1);
-        Some(if self.count.is_multiple_of(LEAF_BEATS) { Beat::All } else { Beat::Actives })
+        Some(if self.count.is_multiple_of(LEAF_DIVISOR) {
+            Recipients::All
+        } else {
+            Recipients::Actives
+        })
     }
 }
--- a/crates/policy/tests/bootstrap.rs
+++ b/crates/policy/tests/bootstrap.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::bootstrap::{Bootstrap, Peers, TRANSFER, WINDOW};
+use fireflyhoist_policy::bootstrap::{Bootstrap, Peers, READ_DEADLINE, TRANSFER_GRACE};
 use fireflyhoist_policy::time::Time;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use yare::parameterized;
 
 /// From the reading of one entry until the news has passed its seed and reached the others.
-const TOLD: Duration = Duration::from_millis(500);
+const PROPAGATION_DELAY: Duration = Duration::from_millis(500);
 
 const STEP: Duration = Duration::from_millis(10);
 
@@ -25,12 +25,12 @@
     let mut first = None;
     let mut span = Duration::ZERO;
     loop {
-        let due = waiting.iter().filter(|one| one.is_due(at(span), Peers::Blank)).count();
+        let due = waiting.iter().filter(|one| one.is_due(at(span), Peers::Uninformed)).count();
         if due > 0 {
             first.get_or_insert(span);
         }
         if let Some(first) = first
-            && span >= first + TOLD
+            && span >= first + PROPAGATION_DELAY
         {
             return (due, first);
         }
@@ -50,7 +50,7 @@
     for seed in 0..50 {
         let (readers, first) = readers(size, seed);
         assert!(readers <= 20, "{readers} of {size} read");
-        assert!(first <= WINDOW, "the first reads after {first:?}");
+        assert!(first <= READ_DEADLINE, "the first reads after {first:?}");
     }
 }
 
@@ -59,9 +59,9 @@
 fn everyone_reads_in_the_end() {
     for draw in [0.0, 0.5, 0.999_999] {
         let entry = Bootstrap::member(Time::ZERO, draw);
-        assert!(entry.is_due(at(WINDOW), Peers::None));
-        assert!(entry.is_due(at(WINDOW), Peers::Blank));
-        assert!(entry.is_due(at(WINDOW + TRANSFER), Peers::Informed));
+        assert!(entry.is_due(at(READ_DEADLINE), Peers::None));
+        assert!(entry.is_due(at(READ_DEADLINE), Peers::Uninformed));
+        assert!(entry.is_due(at(READ_DEADLINE + TRANSFER_GRACE), Peers::Informed));
     }
 }
 
@@ -70,7 +70,7 @@
 fn nobody_reads_while_a_peer_can_tell() {
     for draw in [0.0, 0.5, 0.999_999] {
         let entry = Bootstrap::member(Time::ZERO, draw);
-        assert!(!entry.is_due(at(TRANSFER - STEP), Peers::Informed));
+        assert!(!entry.is_due(at(TRANSFER_GRACE - STEP), Peers::Informed));
     }
 }
 
@@ -79,6 +79,8 @@
 fn seeds_read_at_once() {
     let seed = Bootstrap::seed(Time::ZERO);
     assert!(
-        [Peers::None, Peers::Blank, Peers::Informed].iter().all(|p| seed.is_due(Time::ZERO, *p))
+        [Peers::None, Peers::Uninformed, Peers::Informed]
+            .iter()
+            .all(|p| seed.is_due(Time::ZERO, *p))
     );
 }
