--- a/crates/daemon/src/process/member.rs
+++ b/crates/daemon/src/process/member.rs
@@ -10,7 +10,7 @@
 use fireflyhoist_policy::member::{Action, Entry, HostList, Identity, Membership, Message, Record};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::version::{
-    Asked, Book, Readiness, Stamp, Standing, Verdict, Version, is_watcher, poll_interval,
+    Contact, Readiness, Stamp, Standing, Tracker, Verdict, Version, is_watcher, poll_interval,
 };
 use fireflyhoist_text::transfer::{Next, Transfer};
 use fireflyhoist_wire::peer::Frame;
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 struct Shared {
     membership: Membership,
-    book: Book,
+    book: Tracker,
     readiness: Readiness,
     transfer: Transfer,
     listed: bool,
@@ -70,7 +70,7 @@
         };
         let shared = Shared {
             membership: Membership::open(now, identity),
-            book: Book::default(),
+            book: Tracker::default(),
             readiness: Readiness::open(now),
             transfer: Transfer::default(),
             listed: false,
@@ -127,8 +127,8 @@
     }
 
     /// Takes in what came of asking the platform for the text.
-    pub(crate) fn platform(&self, asked: Asked) {
-        self.state.lock().readiness.platform(asked);
+    pub(crate) fn platform(&self, asked: Contact) {
+        self.state.lock().readiness.set_platform(asked);
     }
 
     /// Decides about a text that was found valid, or not.
@@ -213,10 +213,10 @@
         // Nobody to ask, or nobody who can be reached, is known at once; silence takes its time.
         let nobody = self.listed && !self.membership.knows_others();
         let asked = match nobody || self.membership.is_isolated() {
-            true => Asked::Silent,
-            false => Asked::Pending,
+            true => Contact::Silent,
+            false => Contact::Pending,
         };
-        self.readiness.peers(asked);
+        self.readiness.set_peers(asked);
         self.readiness.standing(now, self.book.stamp())
     }
 
@@ -225,10 +225,10 @@
         if let Message::Heartbeat(beat) = &message {
             let stamp = beat.stamp;
             if stamp != Stamp::default() {
-                self.readiness.peers(Asked::Answered);
+                self.readiness.set_peers(Contact::Answered);
             }
             if self.book.wants(stamp) {
-                self.readiness.announced(stamp);
+                self.readiness.note_announced(stamp);
                 let ask = self.transfer.announced(now, from, stamp);
                 steps.extend(self.reply(from, ask.map(Frame::Text)));
             }
--- a/crates/daemon/src/version/watch.rs
+++ b/crates/daemon/src/version/watch.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflyhoist_policy::version::Asked;
+use fireflyhoist_policy::version::Contact;
 use fireflyhoist_wire::platform::{Hosts, SEQUENCE_HEADER};
 use ntex::client::ClientResponse;
 use ntex::http::StatusCode;
@@ -61,11 +61,11 @@
             Answer::Same { sequence } => {
                 let changed = sequence != after;
                 after = sequence;
-                answered(&worker, key, Asked::Answered);
+                answered(&worker, key, Contact::Answered);
                 changed || !wait.is_zero()
             }
             Answer::Failed => {
-                answered(&worker, key, Asked::Silent);
+                answered(&worker, key, Contact::Silent);
                 false
             }
         };
@@ -91,7 +91,7 @@
     }
 }
 
-fn answered(worker: &Worker, key: Key, asked: Asked) {
+fn answered(worker: &Worker, key: Key, asked: Contact) {
     if key == Key::Text {
         worker.process.control.platform(asked);
     }
@@ -102,7 +102,7 @@
     match key {
         Key::Text => {
             let learnt = worker.process.take_text(body);
-            answered(worker, key, Asked::Answered);
+            answered(worker, key, Contact::Answered);
             learnt
         }
         Key::Hosts => match serde_json::from_slice::<Hosts>(body) {
--- a/crates/policy/src/version/mod.rs
+++ b/crates/policy/src/version/mod.rs
@@ -7,9 +7,9 @@
 //! every process would wait there; without sections a change would cost each process a megabyte.
 //! See `docs/DESIGN.md`, section "Versions that never go back".
 
-mod book;
 mod fetch;
 mod readiness;
+mod tracker;
 mod watch;
 
 use std::cmp::Ordering;
@@ -18,9 +18,9 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-pub use book::{Book, Verdict};
 pub use fetch::Fetch;
-pub use readiness::{Asked, Readiness, Standing};
+pub use readiness::{Contact, Readiness, Standing};
+pub use tracker::{Tracker, Verdict};
 pub use watch::{WATCHERS_PER_DOMAIN, is_watcher, poll_interval};
 
 /// A version of the text: revision first, then digest, so that any two differ in order.
--- a/crates/policy/src/version/readiness.rs
+++ b/crates/policy/src/version/readiness.rs
@@ -12,11 +12,11 @@
 
 /// How long each source may take to answer before it counts as silent: three heartbeats, and a
 /// platform that answers in milliseconds needs none of it.
-const PATIENCE: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What came of asking one source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Asked {
+pub enum Contact {
     /// No answer yet.
     #[default]
     Pending,
@@ -53,8 +53,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
     since: Time,
-    peers: Asked,
-    platform: Asked,
+    peers: Contact,
+    platform: Contact,
     newest: Stamp,
     ready: bool,
 }
@@ -64,30 +64,30 @@
     pub fn open(now: Time) -> Self {
         Self {
             since: now,
-            peers: Asked::Pending,
-            platform: Asked::Pending,
+            peers: Contact::Pending,
+            platform: Contact::Pending,
             newest: Stamp::default(),
             ready: false,
         }
     }
 
     /// Takes in what came of asking the platform.
-    pub fn platform(&mut self, asked: Asked) {
+    pub fn set_platform(&mut self, contact: Contact) {
         // An answer counts even where a later read fails: it has been asked.
-        if self.platform != Asked::Answered {
-            self.platform = asked;
+        if self.platform != Contact::Answered {
+            self.platform = contact;
         }
     }
 
     /// Takes in what came of asking the peers.
-    pub fn peers(&mut self, asked: Asked) {
-        if self.peers != Asked::Answered {
-            self.peers = asked;
+    pub fn set_peers(&mut self, contact: Contact) {
+        if self.peers != Contact::Answered {
+            self.peers = contact;
         }
     }
 
     /// Takes in a version that a peer announced and that is not refused here.
-    pub fn announced(&mut self, stamp: Stamp) {
+    pub fn note_announced(&mut self, stamp: Stamp) {
         self.newest = self.newest.max(stamp);
     }
 
@@ -96,21 +96,21 @@
     /// Once it may, it goes on: the failure would be a fleet whose every member stops serving for a
     /// moment whenever a host is listed or a text published.
     pub fn standing(&mut self, now: Time, stamp: Stamp) -> Standing {
-        let standing = if self.ready { Standing::Ready } else { self.asked(now, stamp) };
+        let standing = if self.ready { Standing::Ready } else { self.evaluate(now, stamp) };
         self.ready = standing == Standing::Ready;
         standing
     }
 
-    fn asked(&self, now: Time, stamp: Stamp) -> Standing {
-        let late = now.since(self.since) >= PATIENCE;
-        let settled = |asked: Asked| match asked {
-            Asked::Pending if late => Asked::Silent,
-            asked => asked,
+    fn evaluate(&self, now: Time, stamp: Stamp) -> Standing {
+        let late = now.since(self.since) >= ANSWER_TIMEOUT;
+        let settled = |contact: Contact| match contact {
+            Contact::Pending if late => Contact::Silent,
+            contact => contact,
         };
         match (settled(self.peers), settled(self.platform)) {
-            (Asked::Pending, _) => Standing::AskingPeers,
-            (_, Asked::Pending) => Standing::AskingPlatform,
-            (Asked::Silent, Asked::Silent) => Standing::Alone,
+            (Contact::Pending, _) => Standing::AskingPeers,
+            (_, Contact::Pending) => Standing::AskingPlatform,
+            (Contact::Silent, Contact::Silent) => Standing::Alone,
             _ if stamp == Stamp::default() => Standing::NoVersion,
             _ if stamp < self.newest => Standing::Behind,
             _ => Standing::Ready,
--- a/crates/policy/src/version/book.rs
+++ b/crates/policy/src/version/tracker.rs
@@ -27,13 +27,13 @@
 
 /// The versions that one process has seen.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Tracker {
     in_force: Option<Version>,
     refused: BTreeMap<Version, SmolStr>,
     conflict: Option<(Version, Version)>,
 }
 
-impl Book {
+impl Tracker {
     /// The version in force.
     pub fn in_force(&self) -> Option<Version> {
         self.in_force
--- a/crates/policy/src/version/watch.rs
+++ b/crates/policy/src/version/watch.rs
@@ -16,10 +16,10 @@
 
 /// The time between two polls of all non-watchers together, a fleet-wide rate of two a second; a
 /// thousandth of what the platform answers.
-const FLEET_POLL: Duration = Duration::from_millis(500);
+const FLEET_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The least time between polls of one process, so that a small fleet does not poll busily.
-const LEAST_POLL: Duration = Duration::from_secs(10);
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Jitter as a share of the interval, so that processes started together drift apart.
 const JITTER: f64 = 0.5;
@@ -29,17 +29,17 @@
 /// Every process ranks alike without agreeing; two that see different members may both watch for a
 /// while, which costs calls and nothing else.
 pub fn is_watcher(own: &id::Host, domain: &id::Domain, domain_members: &[id::Host]) -> bool {
-    let ahead = |member: &&id::Host| {
+    let ranks_higher = |member: &&id::Host| {
         let theirs = rendezvous::weight(domain.as_str(), member.as_str());
         let ours = rendezvous::weight(domain.as_str(), own.as_str());
         (theirs, member.as_str()) > (ours, own.as_str())
     };
-    domain_members.iter().filter(ahead).count() < WATCHERS_PER_DOMAIN
+    domain_members.iter().filter(ranks_higher).count() < WATCHERS_PER_DOMAIN
 }
 
 /// How long a process that is no watcher waits before it polls again.
 pub fn poll_interval(members: usize, random: &mut impl Rng) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
-    let fair = FLEET_POLL.saturating_mul(members).max(LEAST_POLL);
-    fair.mul_f64(1.0 + JITTER * (random.random::<f64>() - 0.5))
+    let interval = FLEET_POLL_INTERVAL.saturating_mul(members).max(MIN_POLL_INTERVAL);
+    interval.mul_f64(1.0 + JITTER * (random.random::<f64>() - 0.5))
 }
--- a/crates/policy/tests/version.rs
+++ b/crates/policy/tests/version.rs
@@ -6,7 +6,7 @@
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::version::{
-    Asked, Book, Fetch, Readiness, Stamp, Standing, Verdict, Version, WATCHERS_PER_DOMAIN,
+    Contact, Fetch, Readiness, Stamp, Standing, Tracker, Verdict, Version, WATCHERS_PER_DOMAIN,
     is_watcher, poll_interval,
 };
 use fireflyhoist_standin::fleet::{Fleet, domain, host};
@@ -26,27 +26,27 @@
 /// serves what it held before; the text in force must stay.
 #[test]
 fn a_platform_stale_for_hours_reverts_nothing() {
-    let mut book = Book::default();
-    assert_eq!(book.offer(version(7), Ok(())), Verdict::Adopt);
+    let mut tracker = Tracker::default();
+    assert_eq!(tracker.offer(version(7), Ok(())), Verdict::Adopt);
     for _ in 0..1_000 {
-        assert_eq!(book.offer(version(5), Ok(())), Verdict::Older);
+        assert_eq!(tracker.offer(version(5), Ok(())), Verdict::Older);
     }
-    assert_eq!(book.in_force(), Some(version(7)));
-    assert_eq!(book.offer(version(8), Ok(())), Verdict::Adopt);
+    assert_eq!(tracker.in_force(), Some(version(7)));
+    assert_eq!(tracker.offer(version(8), Ok(())), Verdict::Adopt);
 }
 
 /// An operator's typing error empties the fleet. The text is refused whole and told, the one in
 /// force stays, and it is not fetched again and again from peers.
 #[test]
 fn an_invalid_text_is_refused_and_told() {
-    let mut book = Book::default();
-    book.offer(version(1), Ok(()));
-    assert_eq!(book.offer(version(2), Err("line 3".into())), Verdict::Refused);
-    assert_eq!(book.in_force(), Some(version(1)));
-    assert_eq!(book.refusal().map(|(v, why)| (*v, why.as_str())), Some((version(2), "line 3")));
-    assert!(!book.wants(version(2).stamp()));
-    book.offer(version(3), Ok(()));
-    assert_eq!(book.refusal(), None, "a newer text in force makes the refusal history");
+    let mut tracker = Tracker::default();
+    tracker.offer(version(1), Ok(()));
+    assert_eq!(tracker.offer(version(2), Err("line 3".into())), Verdict::Refused);
+    assert_eq!(tracker.in_force(), Some(version(1)));
+    assert_eq!(tracker.refusal().map(|(v, why)| (*v, why.as_str())), Some((version(2), "line 3")));
+    assert!(!tracker.wants(version(2).stamp()));
+    tracker.offer(version(3), Ok(()));
+    assert_eq!(tracker.refusal(), None, "a newer text in force makes the refusal history");
 }
 
 /// Half of the fleet serves one text and half the other. Two operators published at once under one
@@ -55,11 +55,11 @@
 fn two_operators_at_once_end_alike_and_are_told() {
     let (a, b) = (Version::of(4, "one"), Version::of(4, "two"));
     let ends = [[a, b], [b, a]].map(|order| {
-        let mut book = Book::default();
+        let mut tracker = Tracker::default();
         for offered in order {
-            book.offer(offered, Ok(()));
+            tracker.offer(offered, Ok(()));
         }
-        (book.in_force(), book.conflict())
+        (tracker.in_force(), tracker.conflict())
     });
     assert_eq!(ends[0].0, ends[1].0);
     assert_eq!(ends[0].1, Some((a.min(b), a.max(b))));
@@ -98,11 +98,11 @@
 #[test]
 fn a_new_process_asks_peers_before_it_trusts_a_stale_platform() {
     let mut readiness = Readiness::open(Time::ZERO);
-    readiness.platform(Asked::Answered);
+    readiness.set_platform(Contact::Answered);
     let (old, new) = (version(5).stamp(), version(7).stamp());
     assert_eq!(readiness.standing(Time::ZERO, old), Standing::AskingPeers);
-    readiness.peers(Asked::Answered);
-    readiness.announced(new);
+    readiness.set_peers(Contact::Answered);
+    readiness.note_announced(new);
     assert_eq!(readiness.standing(Time::ZERO, old), Standing::Behind);
     assert_eq!(readiness.standing(Time::ZERO, new), Standing::Ready);
 }
@@ -112,11 +112,11 @@
 #[test]
 fn a_process_that_serves_goes_on_while_news_comes() {
     let mut readiness = Readiness::open(Time::ZERO);
-    readiness.platform(Asked::Answered);
-    readiness.peers(Asked::Silent);
+    readiness.set_platform(Contact::Answered);
+    readiness.set_peers(Contact::Silent);
     assert_eq!(readiness.standing(Time::ZERO, version(5).stamp()), Standing::Ready);
-    readiness.peers(Asked::Pending);
-    readiness.announced(version(6).stamp());
+    readiness.set_peers(Contact::Pending);
+    readiness.note_announced(version(6).stamp());
     assert_eq!(readiness.standing(Time::ZERO, version(5).stamp()), Standing::Ready);
 }
 
@@ -127,9 +127,9 @@
     let late = Time::ZERO + seconds(10);
     let text = version(5).stamp();
     let mut readiness = Readiness::open(Time::ZERO);
-    readiness.platform(Asked::Silent);
+    readiness.set_platform(Contact::Silent);
     assert_eq!(readiness.standing(late, text), Standing::Alone);
-    readiness.peers(Asked::Answered);
+    readiness.set_peers(Contact::Answered);
     assert_eq!(readiness.standing(late, Stamp::default()), Standing::NoVersion);
     assert_eq!(readiness.standing(late, text), Standing::Ready);
 }
@@ -171,29 +171,29 @@
 fn a_fetch_moves_on_from_a_silent_neighbour() {
     let mut fetch = Fetch::default();
     let stamp = version(3).stamp();
-    assert!(fetch.announced(Time::ZERO, &host(1), stamp));
-    assert!(!fetch.announced(Time::ZERO + seconds(1), &host(2), stamp), "one at a time");
-    assert!(fetch.announced(Time::ZERO + seconds(2), &host(2), stamp), "the next after patience");
-    assert!(!fetch.answered(Time::ZERO + seconds(2), &host(1), stamp), "late answers are dropped");
-    assert!(fetch.answered(Time::ZERO + seconds(2), &host(2), stamp));
+    assert!(fetch.start(Time::ZERO, &host(1), stamp));
+    assert!(!fetch.start(Time::ZERO + seconds(1), &host(2), stamp), "one at a time");
+    assert!(fetch.start(Time::ZERO + seconds(2), &host(2), stamp), "the next after patience");
+    assert!(!fetch.accept(Time::ZERO + seconds(2), &host(1), stamp), "late answers are dropped");
+    assert!(fetch.accept(Time::ZERO + seconds(2), &host(2), stamp));
 }
 
 proptest! {
     /// Whatever order texts arrive in, the one in force never decreases and ends as the maximum.
     #[test]
     fn versions_never_go_back(offers in prop::collection::vec((0..6u64, 0..3u8, any::<bool>()), 1..60)) {
-        let mut book = Book::default();
+        let mut tracker = Tracker::default();
         let mut newest = None;
         for (revision, text, valid) in offers {
             let offered = Version::of(revision, &format!("{revision}{text}{valid}"));
-            let before = book.in_force();
+            let before = tracker.in_force();
             let validity = if valid { Ok(()) } else { Err("wrong".into()) };
-            book.offer(offered, validity);
+            tracker.offer(offered, validity);
             if valid {
                 newest = newest.max(Some(offered));
             }
-            prop_assert!(book.in_force() >= before);
-            prop_assert_eq!(book.in_force(), newest);
+            prop_assert!(tracker.in_force() >= before);
+            prop_assert_eq!(tracker.in_force(), newest);
         }
     }
 
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -10,7 +10,7 @@
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::member::{Action, Entry, HostList, Identity, Membership, Message};
 use fireflyhoist_policy::time::Time;
-use fireflyhoist_policy::version::{Book, Fetch, Stamp, Verdict, Version};
+use fireflyhoist_policy::version::{Fetch, Stamp, Tracker, Verdict, Version};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -26,7 +26,7 @@
     /// Its view of the fleet.
     pub membership: Membership,
     /// Its versions.
-    pub book: Book,
+    pub book: Tracker,
     /// It runs; a member that does not neither sends nor receives.
     pub running: bool,
     /// Which group it is in; groups do not reach each other.
@@ -134,7 +134,7 @@
         };
         let mut membership = Membership::open(self.now, identity);
         membership.set_ready(self.now, true);
-        let (book, fetch) = (Book::default(), Fetch::default());
+        let (book, fetch) = (Tracker::default(), Fetch::default());
         Node { membership, book, running: true, group: 0, sent: 0, bytes: 0, fetch }
     }
 
@@ -228,7 +228,7 @@
                     Message::Heartbeat(beat) => beat.stamp,
                     _ => Stamp::default(),
                 };
-                if node.book.wants(announced) && node.fetch.announced(at, &sender, announced) {
+                if node.book.wants(announced) && node.fetch.start(at, &sender, announced) {
                     self.post(at, to, from, Parcel::WantText);
                 }
                 let actions = self.nodes[to].membership.receive(at, &sender, message);
--- a/crates/text/src/transfer.rs
+++ b/crates/text/src/transfer.rs
@@ -68,7 +68,7 @@
     /// others. A fetch of a version that is no newer ends.
     pub fn hold(&mut self, version: Version, source: &str) {
         let manifest = self.store.split(source);
-        self.fetch.settle(version.stamp());
+        self.fetch.cancel_superseded(version.stamp());
         if !self.fetch.is_open() {
             self.coming = None;
         }
@@ -91,7 +91,7 @@
 
     /// A peer announced a version that is wanted; what to say to it, where it is the one to ask.
     pub fn announced(&mut self, now: Time, from: &id::Host, stamp: Stamp) -> Option<Message> {
-        self.fetch.announced(now, from, stamp).then(|| {
+        self.fetch.start(now, from, stamp).then(|| {
             self.coming = None;
             Message::WantManifest
         })
@@ -134,7 +134,7 @@
         version: Version,
         manifest: Manifest,
     ) -> Next {
-        if !self.fetch.answered(now, from, version.stamp()) {
+        if !self.fetch.accept(now, from, version.stamp()) {
             return Next::Nothing;
         }
         self.coming = Some((version, manifest));
@@ -144,7 +144,7 @@
     /// A peer answered with sections.
     fn on_sections(&mut self, now: Time, from: &id::Host, sections: Vec<String>) -> Next {
         let Some((version, _)) = &self.coming else { return Next::Nothing };
-        if !self.fetch.answered(now, from, version.stamp()) {
+        if !self.fetch.accept(now, from, version.stamp()) {
             return Next::Nothing;
         }
         // Only what was asked for is kept, or a faulty peer could fill the memory.
