--- a/crates/policy/src/member/host_list.rs
+++ b/crates/policy/src/member/host_list.rs
@@ -1,4 +1,4 @@
-//! What the platform's host list says, joined by its sequence.
+//! The platform's host list, merged by its sequence number.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,42 +8,42 @@
 use crate::id;
 use crate::member::Record;
 
-/// An entry host of the list.
+/// A host of the list that runs an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its name.
+    /// The name of the host.
     pub host: id::Host,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: id::Domain,
-    /// Where it serves callers.
+    /// The address on which it serves callers.
     pub http: SocketAddr,
-    /// Where it serves other daemons.
+    /// The address on which it serves other daemons.
     pub peer: SocketAddr,
 }
 
 /// A host list as read from the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostList {
-    /// Grows with each change of the list.
+    /// The sequence number, which grows with each change of the list.
     pub sequence: u64,
-    /// Every host and whether it is leaving.
+    /// The host.
     pub hosts: Vec<(id::Host, bool)>,
-    /// The entry hosts among them.
+    /// The hosts among them that run an entry.
     pub entries: Vec<Entry>,
 }
 
-/// A change of one host in the published list, passed on by whoever read it first.
+/// A change of one host in the published list, forwarded by the member that read the list first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
     /// The host.
     pub host: id::Host,
-    /// The sequence of the list that says so.
+    /// The sequence number of the list that contains the change.
     pub sequence: u64,
-    /// Whether it is leaving, or gone from the list.
+    /// Whether the host is leaving, or no longer listed.
     pub leaving: bool,
 }
 
-/// The newest that is known of each published host.
+/// The newest known state of each published host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HostStates {
     sequence: u64,
@@ -52,13 +52,14 @@
     addresses: BTreeMap<id::Host, Addresses>,
 }
 
-/// Where the list says that others reach a host.
+/// The addresses that the list gives for a host.
 #[derive(Clone, Copy, Debug)]
 struct Addresses {
     http: SocketAddr,
     peer: SocketAddr,
 }
 
+/// The state of one host, and the sequence number of the list that it comes from.
 #[derive(Clone, Copy, Debug)]
 struct HostState {
     sequence: u64,
@@ -71,7 +72,7 @@
         self.sequence
     }
 
-    /// Counts changes in who is leaving.
+    /// Returns a counter that changes when a host starts or stops leaving.
     pub(crate) fn changes(&self) -> u64 {
         self.changes
     }
@@ -84,10 +85,10 @@
         self.hosts.get(host).is_some_and(|state| state.leaving)
     }
 
-    /// The record with the addresses that the list names, where it names the host.
+    /// Returns the record with the listed addresses, if the list contains the host.
     ///
-    /// A member that has not read the list yet gives the addresses that it is bound to, which others
-    /// may not reach.
+    /// A member that has not read the list yet announces the addresses that it is bound to, which
+    /// other hosts may not be able to reach.
     pub(crate) fn with_listed_addresses(&self, record: &Record) -> Record {
         let mut located = record.clone();
         if let Some(addresses) = self.addresses.get(&record.host) {
@@ -96,11 +97,11 @@
         located
     }
 
-    /// Puts a list in place and returns what it changes.
+    /// Applies a list and returns the changes that it makes.
     ///
-    /// The failure: a platform that serves stale content names a host as live that has been leaving
-    /// for long. A list with a lower sequence than one seen is ignored, and so is each host of it
-    /// about which a later notice came.
+    /// A platform that serves stale content may report a host as live that has been leaving for
+    /// long. A list with a lower sequence number than the newest one is therefore ignored, and so
+    /// is each host of a list for which a later notice has arrived.
     pub(crate) fn apply_list(&mut self, published: &HostList) -> Vec<Notice> {
         if published.sequence < self.sequence {
             return Vec::new();
@@ -126,18 +127,20 @@
                 changed.push(notice);
             }
         }
-        // What is no longer listed has been told; only what later notices say is kept.
+        // Hosts that are no longer listed stay known as leaving. Hosts that are neither listed nor
+        // leaving are dropped.
         self.hosts.retain(|_, state| state.listed || state.leaving);
         changed
     }
 
-    /// Takes in a notice from a peer; whether it says something new.
+    /// Applies a notice from a peer and returns whether it changed anything.
     pub(crate) fn apply_notice(&mut self, notice: &Notice) -> bool {
         let listed = self.is_listed(&notice.host);
         self.update(notice, listed)
     }
 
-    /// Whether what is known changed.
+    /// Sets the state of a host unless a newer one is known; returns whether the host started or
+    /// stopped leaving.
     fn update(&mut self, notice: &Notice, listed: bool) -> bool {
         let before = self.hosts.get(&notice.host).copied();
         if before.is_some_and(|state| state.sequence > notice.sequence) {
--- a/crates/policy/src/member/message.rs
+++ b/crates/policy/src/member/message.rs
@@ -1,4 +1,4 @@
-//! What members say to one another about membership.
+//! Messages that members exchange about membership.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,59 +6,60 @@
 use crate::member::{Notice, Record};
 use crate::version::Stamp;
 
-/// The most records in one message: at about 120 bytes each they keep a frame under 2 KB.
+/// The largest number of records in one message. At about 120 bytes each, 16 records keep a frame
+/// under 2 KB.
 pub const MAX_RECORDS: usize = 16;
 
-/// A sign of life with whatever news fits.
+/// A periodic heartbeat, which also carries queued membership updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// A hash of the sender's table, by which lost news is noticed.
+    /// A hash of the sender's table; the receiver compares it with its own to detect lost updates.
     pub table: u64,
-    /// The version in force at the sender.
+    /// The stamp of the version in force at the sender.
     pub stamp: Stamp,
-    /// Whether it answers a heartbeat; answers are not answered.
+    /// Whether this answers a heartbeat. A reply is never answered itself.
     pub reply: bool,
     /// Records that changed, at most [`MAX_RECORDS`].
     pub records: Vec<Record>,
-    /// Hosts that the platform's list newly says are leaving, or back.
+    /// Hosts that a newer platform list reports as leaving, or as no longer leaving.
     pub notices: Vec<Notice>,
 }
 
 /// One message between two members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A sign of life.
+    /// A heartbeat.
     Heartbeat(Heartbeat),
-    /// Please ask after this host for me.
+    /// Asks the receiver to probe a host on behalf of the sender.
     Probe {
-        /// The host that fell silent.
+        /// The host that went silent.
         target: id::Host,
     },
-    /// Are you there? Somebody asks.
+    /// A probe of the receiver, sent on behalf of another member.
     Ping {
-        /// Who asks.
+        /// The member that requested the probe.
         on_behalf: id::Host,
     },
-    /// I am here.
+    /// The answer to a [`Message::Ping`].
     Pong {
-        /// Who asked.
+        /// The member that requested the probe.
         on_behalf: id::Host,
     },
-    /// The host that you asked after is there.
+    /// Reports that a host which the receiver asked to have probed has answered.
     Reached {
-        /// That host.
+        /// The host that answered.
         target: id::Host,
     },
-    /// Please send your table from here on.
+    /// Requests the next page of the receiver's table.
     Sync {
-        /// The last host of the page before.
+        /// The last host of the previous page; `None` for the first page.
         after: Option<id::Host>,
     },
-    /// Part of a table.
+    /// One page of a table.
     Page {
-        /// At most [`MAX_RECORDS`] records in the order of hosts.
+        /// At most [`MAX_RECORDS`] records, ordered by host.
         records: Vec<Record>,
-        /// Whether more follow.
+        /// Whether more pages follow.
         more: bool,
     },
 }
--- a/crates/policy/src/member/mod.rs
+++ b/crates/policy/src/member/mod.rs
@@ -1,13 +1,13 @@
-//! Membership: which hosts are up, ready or leaving, from what peers observe and the platform
-//! publishes.
+//! Membership: which hosts are up, ready or leaving, according to the other members and to the
+//! platform's host list.
 //!
-//! Load pattern: 330 members, of which 20 fail and 140 are replaced on an ordinary day, and a
-//! platform list that lags. Without it callers are sent to hosts that are gone; with heartbeats
-//! between all pairs each member would send 329 a second. Here each member beats with a bounded
-//! number of neighbours ([`ring`]), news is pushed once over each link in bounded frames
-//! ([`news`]), and a silent neighbour is asked after through others before it is suspected
-//! ([`watch`]), so that bytes for each member stay flat as the fleet grows.
-//! See `docs/DESIGN.md`, section "Membership"; `docs/CAPACITY.md` has the measured slopes.
+//! The protocol is designed for 330 members, of which 20 fail and 140 are replaced on an ordinary
+//! day, and for a platform list that lags. Without it, callers would be sent to hosts that are
+//! gone. Heartbeats between all pairs would cost each member 329 messages per interval, so each
+//! member exchanges heartbeats with a bounded number of neighbours ([`ring`]). Updates cross each
+//! link once, in bounded frames ([`outbox`]), and a silent neighbour is probed through other
+//! members before it is suspected ([`neighbour`]), as in SWIM. The bytes that each member sends
+//! therefore do not grow with the fleet.
 
 mod host_list;
 mod message;
@@ -37,74 +37,78 @@
 use outbox::Outbox;
 use table::Table;
 
-/// Between two heartbeats to one neighbour.
+/// The time between two heartbeats to one neighbour.
 ///
-/// With a second, `slopes` measured 1,020 bytes a second sent by each of 330 members and as many
-/// received, which with the texts left nothing of the 2 KB budget; see `docs/CAPACITY.md`.
+/// With an interval of 1 s, each of 330 members sends 1,020 bytes a second and receives as many,
+/// which together with text transfers uses up the budget of 2 KB a second.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// How long news waits to share a frame; four hops of it still stay under a second.
+/// The shortest time between two frames to one neighbour while updates are queued, so that updates
+/// share a frame. Updates that take four hops still arrive within a second.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A neighbour unheard for this long is asked after through others: more than two heartbeats, so
-/// that one late heartbeat asks nobody.
+/// The silence after which a neighbour is probed through other members. It exceeds two heartbeat
+/// intervals, so that one late heartbeat triggers no probe.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_250);
 
 /// How long an indirect probe may take before the neighbour is suspected.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a suspect has to refute: several times the spread of news.
+/// How long a suspect has to refute the suspicion: several times as long as an update takes to
+/// reach every member.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A gap between two polls that counts as a pause of this process.
+/// The time between two polls from which on this process counts as having been paused.
 ///
-/// The daemon polls ten times a second. As long as [`SILENCE_TIMEOUT`], since after such a gap this process
-/// cannot tell a silent neighbour from its own sleep.
+/// The daemon polls ten times a second. The threshold equals [`SILENCE_TIMEOUT`], because after
+/// such a gap this process cannot distinguish a silent neighbour from its own pause.
 pub const PAUSE_THRESHOLD: Duration = SILENCE_TIMEOUT;
 
-/// How long a process that woke waits for a neighbour before it counts itself alone.
+/// How long a process that resumes after a pause waits for a message from any member before it acts
+/// on its state regardless.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often one dead host is tried again, so that a partition that healed is noticed.
+/// The interval at which one dead host is contacted again, so that a healed partition is noticed.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a dead host that is no longer published is remembered.
+/// How long the record of a dead host that is no longer listed is kept.
 const DEAD_TTL: Duration = Duration::from_secs(120);
 
-/// Who this process is.
+/// The identity and addresses of this process.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its host.
+    /// The host that it runs on.
     pub host: id::Host,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: id::Domain,
-    /// Where it serves callers.
+    /// The address on which it serves callers.
     pub http: SocketAddr,
-    /// Where it serves other daemons.
+    /// The address on which it serves other daemons.
     pub peer: SocketAddr,
-    /// Greater than that of any earlier process on this host: its start in Unix milliseconds.
+    /// The incarnation, greater than that of any earlier process on this host: the start time in
+    /// Unix milliseconds.
     pub incarnation: u64,
 }
 
-/// What the daemon does for the membership.
+/// An action that the daemon carries out for the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to a host at its address for peers.
+    /// Send a message to a member.
     Send {
-        /// The host.
+        /// The receiver.
         to: id::Host,
-        /// Where it listens for peers.
+        /// The address on which the receiver listens for peers.
         address: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// Close every link: what waits in their buffers was sent before a pause.
+    /// Close every link, since messages in their buffers were sent before a pause of this process.
     CloseAllLinks,
-    /// Close the link to this host, which fell silent, so that the next message opens a new one.
+    /// Close the link to this host, which went silent, so that the next message opens a new one.
     CloseLink(id::Host),
 }
 
-/// One process's view of the fleet.
+/// The membership as one process sees it.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own: Record,
@@ -121,7 +125,7 @@
 }
 
 impl Membership {
-    /// A process that knows nobody yet.
+    /// Creates the membership of a process that knows no other member.
     pub fn open(now: Time, identity: Identity) -> Self {
         let own = Record {
             host: identity.host,
@@ -150,17 +154,18 @@
         }
     }
 
-    /// This process's own record.
+    /// Returns the record of this process.
     pub fn own(&self) -> &Record {
         &self.own
     }
 
-    /// Everybody known, dead members included.
+    /// Returns the records of all known members, dead ones included.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.table.records()
     }
 
-    /// Members that may be handed to callers: up, ready, and leaving by no source.
+    /// Returns the members that may be offered to callers: alive, ready, and not reported as
+    /// leaving by any source.
     pub fn usable(&self) -> impl Iterator<Item = &Record> {
         self.table.records().filter(|record| {
             record.status == Status::Alive
@@ -170,70 +175,71 @@
         })
     }
 
-    /// Whether a host, of an entry or of a target, is leaving by any source.
+    /// Returns whether any source reports that a host, of an entry or of a target, is leaving.
     pub fn is_leaving(&self, host: &id::Host) -> bool {
         self.listed.is_leaving(host) || self.table.get(host).is_some_and(|record| record.leaving)
     }
 
-    /// Whether what this process knows may be acted on; not right after a pause.
+    /// Returns whether the state may be acted on. It may not right after a pause of this process.
     pub fn is_trusted(&self) -> bool {
         self.resumed_at.is_none()
     }
 
-    /// Whether any member has answered since the start or the last pause.
+    /// Returns whether a message from any member has arrived since the start or the last pause.
     pub fn has_received(&self) -> bool {
         self.received_any
     }
 
-    /// Whether any other member is known to ask.
+    /// Returns whether any other member is known.
     pub fn knows_others(&self) -> bool {
         self.table.len() > 1
     }
 
-    /// Whether every neighbour failed to be reached when last tried.
+    /// Returns whether there are neighbours and the link to each of them failed last.
     pub fn is_isolated(&self) -> bool {
         !self.neighbours.is_empty() && self.neighbours.values().all(Neighbour::is_unreachable)
     }
 
-    /// Where a host listens for peers.
+    /// Returns the address on which a host listens for peers.
     pub fn address(&self, host: &id::Host) -> Option<SocketAddr> {
         self.table.get(host).map(|record| record.peer)
     }
 
-    /// Counts changes in who is leaving, by any source.
+    /// Returns a counter that changes when a host starts or stops leaving, by any source.
     pub fn departures(&self) -> u64 {
         self.listed.changes() + self.departures
     }
 
-    /// A first message to a host that may not know this one.
+    /// Creates a first heartbeat, with the own record, to a host that may not know this process.
     pub fn greeting(&mut self) -> Message {
         let mut heartbeat = self.empty_heartbeat(false);
         heartbeat.records.push(self.own.clone());
         Message::Heartbeat(heartbeat)
     }
 
-    /// How many members are not dead, this one included.
+    /// Returns the number of members that are not dead, this one included.
     pub fn size(&self) -> usize {
         self.table.live().count()
     }
 
-    /// Members of one failure domain that are not dead.
+    /// Returns the members of one failure domain that are not dead.
     pub fn domain_members(&self, domain: &id::Domain) -> Vec<id::Host> {
         let in_domain = |record: &&Record| record.domain == *domain;
         self.table.live().filter(in_domain).map(|record| record.host.clone()).collect()
     }
 
-    /// The members that this one beats with.
+    /// Returns the members that this one exchanges heartbeats with.
     pub fn neighbours(&self) -> impl Iterator<Item = &id::Host> {
         self.neighbours.keys()
     }
 
-    /// The sequence of the newest published list seen.
+    /// Returns the sequence number of the newest host list seen.
     pub fn sequence(&self) -> u64 {
         self.listed.sequence()
     }
 
-    /// The version in force here, which heartbeats announce; a change goes out with the next flush.
+    /// Sets the stamp of the version in force, which heartbeats announce. A change is sent with the
+    /// next flush.
     pub fn set_stamp(&mut self, stamp: Stamp) {
         if stamp != self.stamp {
             self.stamp = stamp;
@@ -241,7 +247,7 @@
         }
     }
 
-    /// Says whether this process may be handed to callers.
+    /// Sets whether this process may be offered to callers.
     pub fn set_ready(&mut self, now: Time, ready: bool) {
         if self.own.ready != ready {
             self.own.ready = ready;
@@ -249,9 +255,10 @@
         }
     }
 
-    /// Says that this process takes no new work from now on.
+    /// Announces that this process accepts no new work from now on.
     ///
-    /// The news waits for no flush: each of its neighbours has it with the next poll.
+    /// The update does not wait for the flush interval: every neighbour receives it after the next
+    /// poll.
     pub fn leave(&mut self, now: Time) {
         if !self.own.leaving {
             self.own.leaving = true;
@@ -260,7 +267,8 @@
         }
     }
 
-    /// Takes in a host list from the platform; one older than known is ignored.
+    /// Applies a host list read from the platform; an older list than the newest one seen is
+    /// ignored.
     pub fn apply_list(&mut self, now: Time, published: &HostList) {
         for notice in self.listed.apply_list(published) {
             self.outbox.queue_notice(notice, None, self.neighbours.keys());
@@ -276,7 +284,8 @@
         self.update_neighbours(now);
     }
 
-    /// A process may listen on every address of its host; the list says which of them others use.
+    /// Sets the own addresses to the listed ones. A process may listen on every address of its
+    /// host; the list says which of them others use.
     fn set_own_addresses(&mut self, now: Time, entry: &Entry) {
         if (self.own.http, self.own.peer) != (entry.http, entry.peer) {
             (self.own.http, self.own.peer) = (entry.http, entry.peer);
@@ -284,9 +293,10 @@
         }
     }
 
-    /// Takes in a message that came over a proven link from `from`.
+    /// Handles a message that arrived from `from` over an authenticated link.
     pub fn receive(&mut self, now: Time, from: &id::Host, message: Message) -> Vec<Action> {
-        // It waited in a buffer while this process slept; the next poll notices the pause.
+        // The message may have waited in a buffer while this process was paused. The next poll
+        // detects the pause.
         if now.since(self.last_poll) >= PAUSE_THRESHOLD {
             return Vec::new();
         }
@@ -301,7 +311,7 @@
                 self.send(&on_behalf, Message::Reached { target: from.clone() })
             }
             Message::Reached { target } => {
-                // It lives, so the silence is that of the link: replace it.
+                // The neighbour is alive, so its link is at fault and is replaced.
                 if let Some(neighbour) = self.neighbours.get_mut(&target) {
                     neighbour.confirmed_alive(now);
                     return vec![Action::CloseLink(target)];
@@ -316,14 +326,14 @@
         }
     }
 
-    /// The link to a host broke or could not be opened: ask after it at once.
+    /// Handles a link that broke or could not be opened: the host is probed at the next poll.
     pub fn unreachable(&mut self, now: Time, host: &id::Host) {
         if let Some(neighbour) = self.neighbours.get_mut(host) {
             neighbour.link_failed(now);
         }
     }
 
-    /// Does what time demands; called about ten times a second.
+    /// Runs everything that is due; called about ten times a second.
     pub fn poll(&mut self, now: Time, random: &mut impl Rng) -> Vec<Action> {
         let mut actions = Vec::new();
         self.detect_pause(now, &mut actions);
@@ -335,9 +345,12 @@
         actions
     }
 
-    /// The failure: a process that was stopped wakes with old facts. It would accuse every
-    /// neighbour of silence and hand callers hosts that left meanwhile. So it forgets when it heard
-    /// whom, drops its links with what they buffered, and is not trusted until somebody answers.
+    /// Detects a pause of this process and discards what it can no longer rely on.
+    ///
+    /// After a pause the state is outdated: the process would suspect every neighbour of being
+    /// silent and hand callers hosts that have left meanwhile. It therefore restarts all timers,
+    /// closes its links along with their buffered messages, and is not trusted until a member
+    /// answers or [`RECOVERY_TIMEOUT`] has passed.
     fn detect_pause(&mut self, now: Time, actions: &mut Vec<Action>) {
         if now.since(self.last_poll) >= PAUSE_THRESHOLD {
             self.resumed_at = Some(now);
@@ -351,14 +364,16 @@
         }
     }
 
+    /// Notes that a message from `from` has arrived.
     fn note_received(&mut self, now: Time, from: &id::Host) {
         self.received_any = true;
         self.resumed_at = None;
         if let Some(neighbour) = self.neighbours.get_mut(from) {
             neighbour.received(now);
         }
-        // It speaks, so whoever called it dead or suspect is wrong; only the member itself may say
-        // so, with a greater incarnation, and it does once it learns of the accusation.
+        // The sender is alive, so a record that calls it suspect or dead is wrong. Only the member
+        // itself may correct the record, with a greater incarnation, and it does so once it
+        // receives the record.
         if self.table.get(from).is_some_and(|record| record.status != Status::Alive) {
             self.outbox.queue_record(from, None, std::iter::once(from));
         }
@@ -386,8 +401,8 @@
                 false => Vec::new(),
             };
         }
-        // A member that beats with us although we do not with it sees another ring for a while; it
-        // gets an answer, or it would suspect us.
+        // A sender that is not a neighbour of this member has a different view of the rings for a
+        // while. It gets a reply, or it would suspect this member.
         if heartbeat.reply {
             return Vec::new();
         }
@@ -396,7 +411,8 @@
         self.send(from, reply)
     }
 
-    /// Takes in what somebody says of a member; news goes on to the neighbours.
+    /// Applies a record from a member and queues it for the neighbours if it is new. A sender whose
+    /// record is outdated gets the newer one.
     fn apply_record(&mut self, now: Time, from: Option<&id::Host>, record: &Record) {
         if record.host == self.own.host {
             self.refute(now, from, record);
@@ -412,28 +428,31 @@
         }
     }
 
-    /// Others hold something of this process that is not so: outbid it.
+    /// Refutes a record about this process that does not match its own, by raising the own
+    /// incarnation above that of the record.
     fn refute(&mut self, now: Time, from: Option<&id::Host>, claim: &Record) {
-        // Others may have read a newer list, and know better where this process is reached.
+        // The listed addresses are not refuted: other members may have read a newer list than this
+        // one.
         let claim = Record { http: self.own.http, peer: self.own.peer, ..claim.clone() };
         if claim.incarnation >= self.own.incarnation && claim != self.own {
             self.own.incarnation = claim.incarnation;
             self.raise_incarnation(now);
         }
-        // Whoever says it may be no neighbour, as after a partition; its answer carries the truth.
+        // The sender may not be a neighbour, for example after a partition, so the own record is
+        // queued for it and goes out with the reply.
         if claim != self.own {
             self.outbox.queue_record(&self.own.host, None, from.into_iter());
         }
     }
 
-    /// Raises the own incarnation and tells everybody.
+    /// Raises the own incarnation and queues the own record for all neighbours.
     fn raise_incarnation(&mut self, now: Time) {
         self.own.incarnation = self.own.incarnation.saturating_add(1);
         self.table.merge(now, &self.own);
         self.outbox.queue_record(&self.own.host, None, self.neighbours.keys());
     }
 
-    /// Chooses the neighbours anew after the set of members changed.
+    /// Recomputes the neighbours after the set of live members has changed.
     fn update_neighbours(&mut self, now: Time) {
         if !self.table.take_live_changed() {
             return;
@@ -452,7 +471,7 @@
         self.outbox.retain(&self.neighbours);
     }
 
-    /// Asks after silent neighbours, and suspects those whom nobody reached.
+    /// Probes silent neighbours, and suspects those that no probe reached.
     fn check_neighbours(&mut self, now: Time, random: &mut impl Rng, actions: &mut Vec<Action>) {
         let hosts: Vec<id::Host> = self.neighbours.keys().cloned().collect();
         for host in hosts {
@@ -460,8 +479,9 @@
             match neighbour.check(now) {
                 neighbour::Health::Healthy => {}
                 neighbour::Health::Probe => {
-                    // A link that went silent for good while new ones work: replaced, and the
-                    // member asked after through others that have links of their own.
+                    // The link may be silent for good although new links would work. It is
+                    // replaced, and the neighbour is probed through members that have links of
+                    // their own to it.
                     actions.push(Action::CloseLink(host.clone()));
                     for relay in ring::probe_relays(random, self.neighbours.keys(), &host) {
                         let message = Message::Probe { target: host.clone() };
@@ -473,6 +493,7 @@
         }
     }
 
+    /// Applies a worse status to a member; a status that is not worse is ignored.
     fn set_status(&mut self, now: Time, host: &id::Host, status: Status) {
         let Some(record) = self.table.get(host) else { return };
         if record.status < status {
@@ -481,7 +502,7 @@
         }
     }
 
-    /// Suspects that did not refute in time are dead; the dead are forgotten in the end.
+    /// Marks suspects that did not refute in time as dead, and evicts dead members in the end.
     fn expire_suspects(&mut self, now: Time) {
         for host in self.table.expired_suspects(now, SUSPICION_TIMEOUT) {
             self.set_status(now, &host, Status::Dead);
@@ -490,7 +511,8 @@
         self.table.evict_dead(now, DEAD_TTL, |host| listed.is_listed(host));
     }
 
-    /// Tries one dead host again: after a partition healed, nobody else would speak first.
+    /// Contacts one dead host. After a partition has healed, neither side would otherwise contact
+    /// the other.
     fn retry_dead(&mut self, now: Time, random: &mut impl Rng, actions: &mut Vec<Action>) {
         if now.since(self.last_retry) < RETRY_INTERVAL {
             return;
@@ -501,7 +523,8 @@
             return;
         }
         let host = &dead[random.random_range(0..dead.len())];
-        // The record travels along, so that the host learns that it is thought dead and refutes.
+        // The record is included so that the host learns that it is considered dead, and refutes
+        // it.
         let mut heartbeat = self.empty_heartbeat(false);
         heartbeat.records = self.table.get(host).cloned().into_iter().collect();
         actions.extend(self.send(host, Message::Heartbeat(heartbeat)));
@@ -519,7 +542,7 @@
         }
     }
 
-    /// Takes in part of a neighbour's table and asks for the next one.
+    /// Applies one page of a neighbour's table and requests the next one.
     fn receive_page(
         &mut self,
         now: Time,
@@ -536,6 +559,7 @@
         }
     }
 
+    /// Creates a heartbeat that carries the updates queued for `to`.
     fn heartbeat(&mut self, to: &id::Host, reply: bool) -> Message {
         let mut heartbeat = self.empty_heartbeat(reply);
         let pending = self.outbox.take(to, MAX_RECORDS);
--- a/crates/policy/src/member/neighbour.rs
+++ b/crates/policy/src/member/neighbour.rs
@@ -1,28 +1,30 @@
-//! One neighbour: when it was heard, when to beat, when to ask after it and when to suspect it.
+//! The state of one neighbour: when a heartbeat is due, when to probe it, when to suspect it and
+//! when to request its table.
 
 use std::time::Duration;
 
 use crate::member::{PROBE_TIMEOUT, SILENCE_TIMEOUT};
 use crate::time::Time;
 
-/// How long tables may differ before one is asked for: news in flight needs no repair.
+/// How long two tables may differ before a sync is requested: updates in flight need no sync.
 const SYNC_DELAY: Duration = Duration::from_secs(3);
 
-/// Between two repairs of a difference that persists, so that a lasting one stays cheap.
+/// The shortest time between two syncs with one neighbour, so that a lasting difference costs
+/// little.
 const SYNC_INTERVAL: Duration = Duration::from_secs(20);
 
-/// What to do about a neighbour's silence.
+/// The result of a check for silence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
-    /// Nothing.
+    /// Nothing is to be done.
     Healthy,
-    /// Ask others after it.
+    /// The neighbour is silent and is to be probed through other members.
     Probe,
-    /// Nobody reached it.
+    /// No probe has reached the neighbour in time.
     Suspect,
 }
 
-/// One neighbour.
+/// The state of one neighbour.
 #[derive(Clone, Debug)]
 pub(crate) struct Neighbour {
     last_received: Time,
@@ -53,18 +55,20 @@
         self.unreachable = false;
     }
 
-    /// Another member reached it: it has the time of one silence to be heard over a new link.
+    /// Handles a report that another member reached the neighbour. It has [`SILENCE_TIMEOUT`] to
+    /// send a message over a new link.
     pub(crate) fn confirmed_alive(&mut self, now: Time) {
         self.received(now);
     }
 
-    /// Silence counts from now on only.
+    /// Restarts the timeout for silence, and makes a heartbeat due.
     pub(crate) fn reset_timers(&mut self, now: Time) {
         self.received(now);
         self.last_sent = None;
     }
 
-    /// Its link broke: as good as a silence.
+    /// Handles a failed link, which counts as if the neighbour had been silent for
+    /// [`SILENCE_TIMEOUT`].
     pub(crate) fn link_failed(&mut self, now: Time) {
         self.unreachable = true;
         if self.probed_at.is_none() {
@@ -87,17 +91,18 @@
         }
     }
 
-    /// The next flush need not wait for the heartbeat.
+    /// Makes the next frame due after the flush interval instead of the heartbeat interval.
     pub(crate) fn request_flush(&mut self) {
         self.flush_requested = true;
     }
 
-    /// The next poll sends, whatever was sent just before.
+    /// Makes a frame due at the next poll, however recently the last one was sent.
     pub(crate) fn send_immediately(&mut self) {
         self.last_sent = None;
     }
 
-    /// Whether to send now, with `pending` news to tell.
+    /// Returns whether to send a frame now; `pending` says whether updates are queued. A frame that
+    /// is due counts as sent.
     pub(crate) fn take_due(
         &mut self,
         now: Time,
@@ -114,8 +119,8 @@
         due
     }
 
-    /// Whether to ask for its table, given that the two differ or not; `at_once` for a process that
-    /// knows nobody.
+    /// Returns whether to request the neighbour's table. `differs` says whether the two tables
+    /// differ; `at_once` skips the delay for a process that knows no other member.
     pub(crate) fn should_sync(&mut self, now: Time, differs: bool, at_once: bool) -> bool {
         if !differs {
             self.differs_since = None;
--- a/crates/policy/src/member/outbox.rs
+++ b/crates/policy/src/member/outbox.rs
@@ -1,4 +1,4 @@
-//! What still has to be told to which neighbour: each piece of news crosses each link once.
+//! Updates queued for each neighbour; each update crosses each link once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,28 +6,29 @@
 use crate::member::Notice;
 use crate::member::neighbour::Neighbour;
 
-/// News for one neighbour.
+/// The updates queued for one neighbour.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pending {
     /// Hosts whose records changed.
     pub(crate) records: BTreeSet<id::Host>,
-    /// Changes of the published list.
+    /// Changes of the published host list.
     pub(crate) notices: Vec<Notice>,
 }
 
-/// News by neighbour. Bounded: by the hosts known for records, and one notice a host.
+/// Queued updates by neighbour. Bounded by the number of known hosts: one record and one notice for
+/// each.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outbox {
     by_host: BTreeMap<id::Host, Pending>,
 }
 
 impl Outbox {
-    /// Whether a neighbour has news to come.
+    /// Returns whether any update is queued for a neighbour.
     pub(crate) fn has_pending(&self, to: &id::Host) -> bool {
         self.by_host.get(to).is_some_and(|n| !n.records.is_empty() || !n.notices.is_empty())
     }
 
-    /// Queues the record of `about` for all but whoever told it.
+    /// Queues the record of `about` for the hosts of `to` other than `from`, which sent it.
     pub(crate) fn queue_record<'a>(
         &mut self,
         about: &id::Host,
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Queues a notice for all but whoever told it.
+    /// Queues a notice for the hosts of `to` other than `from`, which sent it. It replaces a queued
+    /// notice about the same host.
     pub(crate) fn queue_notice<'a>(
         &mut self,
         notice: Notice,
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Takes at most `limit` records and as many notices for one neighbour.
+    /// Removes and returns at most `limit` records and at most `limit` notices for one neighbour.
     pub(crate) fn take(&mut self, to: &id::Host, limit: usize) -> Pending {
         let Some(pending) = self.by_host.get_mut(to) else { return Pending::default() };
         let rest = pending.notices.split_off(pending.notices.len().min(limit));
@@ -68,7 +70,7 @@
         Pending { records, notices }
     }
 
-    /// Forgets news for those who are neighbours no more.
+    /// Drops the updates for hosts that are no longer neighbours.
     pub(crate) fn retain(&mut self, neighbours: &BTreeMap<id::Host, Neighbour>) {
         self.by_host.retain(|host, _| neighbours.contains_key(host));
     }
--- a/crates/policy/src/member/proof.rs
+++ b/crates/policy/src/member/proof.rs
@@ -1,9 +1,10 @@
-//! How two daemons prove to each other that they hold the same key, without showing it.
+//! Mutual proof that two daemons hold the same key, without revealing it.
 //!
 //! Each side answers the other's fresh challenge with a MAC over both challenges, its role and its
-//! host. A stranger cannot answer, a recorded answer fits no new challenge, and an answer cannot be
-//! turned round since the role is in it. Frames after that are not authenticated one by one: whoever
-//! can write into a TCP connection between hosts is not kept out.
+//! host. An unknown process cannot compute the answer, a recorded answer does not match a new
+//! challenge, and an answer cannot be reflected because it contains the role. Later frames are not
+//! authenticated one by one: an attacker who can write into a TCP connection between hosts is not
+//! kept out.
 
 use derive_more::{Display, Error};
 use hmac::{Hmac, Mac};
@@ -18,29 +19,31 @@
 pub struct Challenge([u64; 2]);
 
 impl Challenge {
-    /// Wraps numbers that the caller drew at random.
+    /// Wraps numbers that the caller of this function drew at random.
     pub const fn new(numbers: [u64; 2]) -> Self {
         Self(numbers)
     }
 }
 
-/// Which side of a link speaks.
+/// The side of a link that a process is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The side that connected.
+    /// The side that opened the connection.
     Dialer,
-    /// The side that listened.
+    /// The side that accepted the connection.
     Listener,
 }
 
-/// An answer to a challenge.
+/// The answer to a challenge.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Proof(Vec<u8>);
 
-/// The other side does not hold the key.
+/// The proof does not match: the other side does not hold the key.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("peer does not prove the key; give both hosts the same `peer_key`, or find the stranger")]
+#[display(
+    "peer does not prove that it holds the key; set the same `peer_key` on both hosts, or find out which process connects"
+)]
 pub struct VerifyError;
 
 fn mac(
@@ -63,7 +66,7 @@
     mac
 }
 
-/// The answer of `host` in `role` to the two challenges of a link.
+/// Computes the answer of `host` in `role` to the two challenges of a link.
 pub fn prove(
     key: &str,
     role: Role,
@@ -74,7 +77,9 @@
     Proof(mac(key, role, dialer, listener, host).finalize().into_bytes().to_vec())
 }
 
-/// Checks the answer of `host` in `role`, in constant time.
+/// Verifies the answer of `host` in `role`, in constant time.
+///
+/// Returns an error if `proof` was not computed with the same key, role, challenges and host.
 pub fn verify(
     key: &str,
     role: Role,
--- a/crates/policy/src/member/record.rs
+++ b/crates/policy/src/member/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one member, and which of two sayings about it holds.
+//! The record of one member, and the order that decides which of two records holds.
 
 use std::net::SocketAddr;
 
@@ -7,44 +7,44 @@
 use crate::id;
 use crate::member::host_list::Entry;
 
-/// How a member is seen.
+/// The status of a member as others see it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// It is heard, directly or through others.
+    /// Messages arrive from it, directly or through other members.
     #[default]
     Alive,
-    /// A neighbour and those it asked hear nothing from it.
+    /// Neither a neighbour nor the members that it asked for a probe get an answer.
     Suspect,
-    /// It did not refute in time.
+    /// It did not refute the suspicion in time.
     Dead,
 }
 
-/// What is known of one member.
+/// The record of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Its host.
     pub host: id::Host,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// Where it serves callers.
+    /// The address on which it serves callers.
     pub http: SocketAddr,
-    /// Where it serves other daemons.
+    /// The address on which it serves other daemons.
     pub peer: SocketAddr,
-    /// Raised by the member alone; 0 for a published host that was never heard of.
+    /// Raised by the member alone; 0 for a published host from which no message is known.
     pub incarnation: u64,
-    /// How it is seen.
+    /// Its status.
     pub status: Status,
-    /// It says that it serves.
+    /// Whether it announces that it serves callers.
     pub ready: bool,
-    /// It says that it takes no new work.
+    /// Whether it announces that it accepts no new work.
     pub leaving: bool,
 }
 
 impl Record {
-    /// A host that was published and not heard of yet.
+    /// Creates the record of a published host from which no message is known.
     pub(crate) fn unseen(entry: &Entry) -> Self {
         Self {
             host: entry.host.clone(),
@@ -58,10 +58,11 @@
         }
     }
 
-    /// Whether this saying holds against `other` about the same host.
+    /// Returns whether this record replaces `other`, which is about the same host.
     ///
-    /// The greater incarnation holds, since only the member itself raises it; within one, the worse
-    /// status does. That order is total, so members converge whatever the order of arrival.
+    /// The greater incarnation wins, since only the member itself raises it; within one incarnation
+    /// the worse status wins. The order is total, so all members converge whatever the order in
+    /// which records arrive.
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.incarnation, self.status) > (other.incarnation, other.status)
     }
--- a/crates/policy/src/member/ring.rs
+++ b/crates/policy/src/member/ring.rs
@@ -1,8 +1,8 @@
-//! Who beats with whom: the next and the previous live member on each of three rings.
+//! Selection of neighbours: the next and the previous live member on each of three rings.
 //!
-//! Each ring orders the members by a hash of its own, so three together make a graph in which every
-//! member has at most six neighbours and the way between any two of 330 takes about four steps.
-//! Two members see each other as neighbours alike wherever they know the same members.
+//! Each ring orders the members by a hash of its own. Together the rings form a graph in which
+//! every member has at most six neighbours and two of 330 members are about four hops apart. The
+//! relation is symmetric between members that know the same live members.
 
 use rand::Rng;
 use rand::seq::IteratorRandom;
@@ -10,13 +10,14 @@
 use crate::id;
 use crate::rendezvous;
 
-/// Three rings give six links a member: five of its neighbours may fail before it hangs on one.
+/// The names of the rings. Three rings give each member six links, so it stays connected when five
+/// of its neighbours fail.
 const RINGS: [&str; 3] = ["ring-0", "ring-1", "ring-2"];
 
-/// How many others are asked to probe a silent neighbour, as in SWIM.
+/// The number of members that are asked to probe a silent neighbour, as in SWIM.
 const PROBE_RELAYS: usize = 3;
 
-/// The neighbours of `own` among `members`, in order of names and each once.
+/// Returns the neighbours of `own` among `members`, sorted by name and without duplicates.
 pub fn neighbours(own: &str, members: &[&str]) -> Vec<String> {
     let mut chosen: Vec<String> = Vec::with_capacity(RINGS.len() * 2);
     for ring in RINGS {
@@ -35,7 +36,7 @@
     chosen
 }
 
-/// A few of `hosts` that are not `excluded`.
+/// Draws up to [`PROBE_RELAYS`] of `hosts`, leaving out `excluded`.
 pub(crate) fn probe_relays<'a>(
     random: &mut impl Rng,
     hosts: impl Iterator<Item = &'a id::Host>,
--- a/crates/policy/src/member/table.rs
+++ b/crates/policy/src/member/table.rs
@@ -1,4 +1,4 @@
-//! All records of one process, with the hash by which two tables are compared.
+//! The records that one process holds, with a hash by which two tables are compared.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -44,22 +44,23 @@
         self.records().filter(|record| record.status == Status::Dead)
     }
 
-    /// Whether nobody but this process was heard of yet.
+    /// Returns whether no record of another member has arrived yet; unseen published hosts do not
+    /// count.
     pub(crate) fn knows_only_self(&self) -> bool {
         self.records().filter(|record| record.incarnation > 0).count() <= 1
     }
 
-    /// A hash of who is live in which incarnation; 0 for a table that nobody is in.
+    /// Returns a hash over the hosts and incarnations that are not dead; 0 for an empty table.
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Whether somebody came to life or died since this was last asked.
+    /// Returns whether the set of live members has changed since the last call.
     pub(crate) fn take_live_changed(&mut self) -> bool {
         std::mem::take(&mut self.live_changed)
     }
 
-    /// Takes in a record if it is news.
+    /// Stores a record unless the known one supersedes or equals it; returns whether it was stored.
     pub(crate) fn merge(&mut self, now: Time, record: &Record) -> bool {
         let before = self.get(&record.host);
         if before.is_some_and(|before| !record.supersedes(before)) {
@@ -74,29 +75,30 @@
         true
     }
 
-    /// Gives every record the addresses that it should have; nothing else of it may differ.
+    /// Replaces every record by the result of `with_addresses`, which may change nothing but the
+    /// addresses.
     pub(crate) fn update_addresses(&mut self, with_addresses: impl Fn(&Record) -> Record) {
         self.rows.values_mut().for_each(|row| row.record = with_addresses(&row.record));
     }
 
-    /// Whether what is held about a host holds against `record`.
+    /// Returns whether the stored record of the host supersedes `record`.
     pub(crate) fn supersedes(&self, record: &Record) -> bool {
         self.get(&record.host).is_some_and(|held| held.supersedes(record))
     }
 
-    /// Suspects whose time to refute is over.
+    /// Returns the suspects that have not refuted the suspicion within `after`.
     pub(crate) fn expired_suspects(&self, now: Time, after: Duration) -> Vec<id::Host> {
         let expired =
             |row: &&Row| row.record.status == Status::Suspect && now.since(row.since) >= after;
         self.rows.values().filter(expired).map(|row| row.record.host.clone()).collect()
     }
 
-    /// Suspicions count from now on only.
+    /// Restarts the timeout of every suspicion.
     pub(crate) fn restart_timers(&mut self, now: Time) {
         self.rows.values_mut().for_each(|row| row.since = now);
     }
 
-    /// Forgets the dead that nobody lists any more.
+    /// Evicts members that have been dead for `after` and are not listed.
     pub(crate) fn evict_dead(
         &mut self,
         now: Time,
@@ -108,7 +110,9 @@
         });
     }
 
-    /// The records after `host` in the order of hosts, at most `limit`, and whether more follow.
+    /// Returns at most `limit` records after `after`, ordered by host, and whether more follow.
+    ///
+    /// Unseen and dead members are left out.
     pub(crate) fn page(&self, after: Option<&id::Host>, limit: usize) -> (Vec<Record>, bool) {
         let known = |record: &&Record| record.incarnation > 0 && record.status != Status::Dead;
         let rest = |record: &&Record| after.is_none_or(|after| record.host > *after);
@@ -120,8 +124,8 @@
     }
 }
 
-/// What a record adds to the hash: nothing for the dead and the unheard, about whom members may
-/// differ for long without harm.
+/// Returns the contribution of a record to the hash of the table: 0 for dead and for unseen
+/// members, about which two members may disagree for long without harm.
 fn record_hash(record: &Record) -> u64 {
     if record.incarnation == 0 || record.status == Status::Dead {
         return 0;
