--- a/crates/policy/src/bootstrap.rs
+++ b/crates/policy/src/bootstrap.rs
@@ -1,43 +1,44 @@
 //! When an entry that has just started reads the registry itself.
 //!
-//! Pattern: hundreds of entries start at the same moment, and a few readings would do for all. The
-//! seeds read at once. The others link to them first and read only if nobody tells them, each after
-//! a wait by which few do ([`suppress`]).
+//! Hundreds of entries may start at the same moment, and a few reads are enough for all of them.
+//! The seeds read at once. The others link to the seeds first and read the registry only if no peer
+//! provides what they need, each after a delay drawn so that few of them read ([`suppress`]).
 //!
-//! Nothing depends on one entry: seeds that hang or can't read delay the others by [`READ_DEADLINE`] at
-//! most, and whoever reads first tells the seeds, which tell the rest.
+//! No single entry is required: seeds that hang or cannot read the registry delay the others by
+//! [`READ_DEADLINE`] at most, and the entry that reads first passes the result to the seeds, which
+//! pass it to the rest.
 
 use std::time::Duration;
 
 use crate::suppress;
 use crate::time::Time;
 
-/// Within which time somebody reads where no seed can.
+/// The time within which some entry reads the registry if no seed can.
 pub const READ_DEADLINE: Duration = Duration::from_secs(3);
 
-/// How much longer one waits whose peer has what it needs: a large text on a narrow link takes
-/// seconds, and a second copy would not come sooner.
+/// The extra time that an entry waits while a peer has what it needs. A large text takes seconds
+/// over a narrow link, and a second copy would not arrive sooner.
 pub const TRANSFER_GRACE: Duration = Duration::from_secs(2);
 
-/// How long an entry without any link waits at least: seeds that started with it take this long to
-/// listen and greet.
+/// The minimum delay of an entry without any link: seeds that started at the same time take this
+/// long to listen and to complete a handshake.
 const UNLINKED_DELAY: Duration = Duration::from_millis(600);
 
-/// Over how long the readings of entries without links are spread.
+/// The span over which the reads of entries without links are spread.
 const UNLINKED_SPREAD: Duration = Duration::from_millis(600);
 
-/// What the peers of a starting entry can do for it.
+/// What the peers of a starting entry can provide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peers {
     /// No link is open.
     None,
-    /// Those that are linked know nothing either.
+    /// Links are open, but no linked peer has what is missing.
     Uninformed,
-    /// One of them has what is missing here.
+    /// A linked peer has what is missing.
     Informed,
 }
 
-/// The time until one starting entry reads the registry.
+/// The delay until one starting entry reads the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct Bootstrap {
     started_at: Time,
@@ -51,12 +52,12 @@
 }
 
 impl Bootstrap {
-    /// For an entry that others link to first, or that knows of no other.
+    /// Creates the state of an entry that others link to first, or that knows no other entry.
     pub fn seed(now: Time) -> Self {
         Self { started_at: now, delays: None }
     }
 
-    /// For any other entry, with a number drawn evenly from 0 to 1.
+    /// Creates the state of any other entry; `draw` is a random number, uniform between 0 and 1.
     pub fn member(now: Time, draw: f64) -> Self {
         let delays = Delays {
             linked: suppress::wait(READ_DEADLINE, draw),
@@ -65,7 +66,7 @@
         Self { started_at: now, delays: Some(delays) }
     }
 
-    /// Whether to read now what nobody has told yet.
+    /// Returns whether to read the registry now, while the data is still missing.
     pub fn is_due(&self, now: Time, peers: Peers) -> bool {
         let Some(delays) = self.delays else { return true };
         let delay = match peers {
--- a/crates/policy/src/heartbeat.rs
+++ b/crates/policy/src/heartbeat.rs
@@ -1,43 +1,46 @@
-//! When an entry tells the others what it holds.
+//! When an entry sends heartbeats, which carry what it has in flight at each engine.
 //!
-//! **Load pattern** (`steady sends`): an entry begins a generation every 50 to 100 ms for as long
-//! as the day lasts. What was sent is told soon, or several entries fill the same room; and
-//! heartbeats must keep their time meanwhile, or whoever hears nothing else takes the entry for
-//! dead.
+//! An entry may begin a generation every 50 to 100 ms for a whole day. The others must learn of it
+//! soon, or several entries fill the same free capacity of an engine; meanwhile regular heartbeats
+//! must keep their interval, or entries that receive nothing else consider the sender dead.
 //!
-//! **Without it.** A timer that is set anew after each send never runs out. On the larger of the
-//! users' deployments the two strongest hosts of each failure domain begin some fifteen generations
-//! a second each: the hosts that stand by, which are told only by the timer, closed their links
-//! about once a second and read the registry instead, and 3,755 of the 4,127 calls of a day were
-//! theirs. **With it** the timer has a time of its own that no send moves.
+//! A timer that is reset by each send never expires. On the larger of the users' deployments, the
+//! two strongest hosts of each failure domain begin some fifteen generations a second each. With
+//! such a timer the leaves, which receive only regular heartbeats, closed their links about once a
+//! second and read the registry instead, which caused 3,755 of the 4,127 registry calls of a day.
+//! The schedule is therefore independent of sends.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Time between heartbeats of actives. What is held at each engine is at most this old plus the
-/// way, so that two entries rarely fill the same room; a prompt takes longer to be read.
+/// The time between two heartbeats to actives. What an entry knows of another's in-flight requests
+/// is at most this old plus the network delay, so that two entries rarely fill the same capacity; a
+/// prompt takes longer to be prefilled.
 pub const INTERVAL: Duration = Duration::from_millis(150);
 
-/// How soon the others hear of a generation that was sent; those sent meanwhile go along.
+/// The delay before the others are notified of a generation that was sent; generations sent during
+/// it share the notification.
 ///
-/// The failure: within one heartbeat several entries fill the same room of an engine, which then
-/// preempts what it began. A heartbeat of its own for each costs a few frames a second.
+/// Within one heartbeat interval several entries would fill the same free capacity of an engine,
+/// which then preempts what it has begun. Extra heartbeats for these notifications cost a few
+/// frames a second.
 pub const COALESCE_DELAY: Duration = Duration::from_millis(15);
 
-/// Heartbeats of actives for each one between an active and a leaf, which carries little traffic.
+/// Every how many heartbeats the leaves get one too; the links between actives and leaves carry
+/// little traffic.
 const LEAF_DIVISOR: u32 = 2;
 
-/// Whom a heartbeat goes to.
+/// The recipients of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipients {
-    /// The actives.
+    /// All linked actives.
     Actives,
-    /// The actives, and the leaves as well.
+    /// All linked actives and leaves.
     All,
 }
 
-/// The times of one entry's heartbeats.
+/// The schedule of one entry's heartbeats.
 #[derive(Debug)]
 pub struct Schedule {
     due: Time,
@@ -45,20 +48,20 @@
 }
 
 impl Schedule {
-    /// Begins with a heartbeat one [`INTERVAL`] from now.
+    /// Creates a schedule whose first heartbeat is due one [`INTERVAL`] after `now`.
     pub fn open(now: Time) -> Self {
         Self { due: now + INTERVAL, count: 0 }
     }
 
-    /// How long no heartbeat is due.
+    /// Returns the time until the next heartbeat is due.
     pub fn wait(&self, now: Time) -> Duration {
         self.due.since(now)
     }
 
-    /// The heartbeat that is due now, if one is.
+    /// Returns the recipients of the heartbeat that is due, or `None` if none is due.
     ///
-    /// After a pause of the process the next one is due a whole [`INTERVAL`] later: the ones that were
-    /// missed would all say the same.
+    /// After a pause of the process one heartbeat is due, and the next one a whole [`INTERVAL`]
+    /// later: the missed ones would all carry the same state.
     pub fn take_due(&mut self, now: Time) -> Option<Recipients> {
         if now < self.due {
             return None;
--- a/crates/policy/src/observation.rs
+++ b/crates/policy/src/observation.rs
@@ -1,10 +1,11 @@
-//! What several entries saw of one target, so that all stop using one that fails.
+//! Request outcomes at one target, shared among entries so that all of them stop using a failing
+//! one.
 //!
-//! Pattern: a target takes connections and fails whatever is sent, and many entries use it. Where
-//! each waits for failures in a row of its own, the fleet loses that many times its entries. Here
-//! the failures of all count together. As much care is taken as by one entry alone: whoever is
-//! answered says so too, one entry's word is never enough, nor is that of one failure domain to the
-//! others, since its own link may be what fails.
+//! A target may accept connections and fail every request while many entries use it. If each entry
+//! waited for consecutive failures of its own, the fleet would lose that many requests per entry.
+//! Failures seen by different entries are therefore counted together. To be as careful as a single
+//! entry would be, entries share answers too, and neither one entry nor, for entries of other
+//! domains, one failure domain is enough: the link of the observer may be what fails.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -14,50 +15,53 @@
 use crate::id;
 use crate::time::Time;
 
-/// How long an outcome counts: one of many targets is met about once a second by a whole fleet.
+/// How long an outcome counts. Where there are many targets, the whole fleet together sends each of
+/// them about one request a second.
 pub const WINDOW: Duration = Duration::from_secs(10);
 
-/// How long after a failure others have had the time to say that the target answers them: to hear of
-/// it, to be answered by one that is met several times a second, and to say so.
+/// The shortest time between the first failure and an ejection. It lets other entries receive the
+/// failure, get an answer from a target that gets several requests a second, and share it.
 pub const CONFIRMATION_DELAY: Duration = Duration::from_secs(1);
 
-/// Failures of different entries, with no answer after the first, that condemn a target.
+/// The number of failures of different entries, with no answer after the first, that makes a target
+/// count as failing.
 const QUORUM: usize = 2;
 
-/// Outcomes that are kept for one target; a busy one has enough of them within a fraction of
+/// The number of outcomes kept for one target. A busy target exceeds it within a fraction of
 /// [`WINDOW`].
 const MAX_OBSERVATIONS: usize = 64;
 
-/// Between two words that a target answers: enough to outweigh single failures.
+/// The shortest time between two shared answers of one target: often enough to outweigh single
+/// failures.
 const SHARE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Whose word an outcome is.
+/// The entry that observed an outcome.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Observer {
-    /// The entry.
+    /// The host of the entry.
     pub host: id::Host,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: id::Domain,
 }
 
 /// How one request ended at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was answered.
+    /// The target began to answer.
     Answered,
-    /// It failed.
+    /// The request failed.
     Failed,
 }
 
 #[derive(Clone, Debug)]
 struct Observation {
     at: Time,
-    /// `None` for this entry's own.
+    /// `None` for an observation of this entry.
     observer: Option<Observer>,
     outcome: Outcome,
 }
 
-/// Outcomes at one target, by all entries.
+/// The recent outcomes at one target, by all entries.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     observations: VecDeque<Observation>,
@@ -65,10 +69,11 @@
 }
 
 impl Observations {
-    /// Takes in an outcome of this entry; whether the others should hear of it.
+    /// Records an outcome of this entry and returns whether to share it with the others.
     ///
-    /// Only requests that begin to be answered count as answered: a target that fails whatever is
-    /// new may go on with what it runs.
+    /// A request counts as answered when its answer begins. What a target does with requests
+    /// already in flight does not count, since a target that fails every new request may still
+    /// complete those.
     pub fn record_own(&mut self, now: Time, outcome: Outcome) -> bool {
         self.evict_expired(now);
         let has_failures =
@@ -87,13 +92,15 @@
         true
     }
 
-    /// Takes in an outcome of another entry.
+    /// Records an outcome of another entry.
     pub fn record_peer(&mut self, now: Time, observer: Observer, outcome: Outcome) {
         self.evict_expired(now);
         self.push(Observation { at: now, observer: Some(observer), outcome });
     }
 
-    /// Whether different entries saw it fail, and none was answered since.
+    /// Returns whether enough different entries had requests fail, the first at least
+    /// [`CONFIRMATION_DELAY`] ago, and none had one answered since. If this entry saw no failure
+    /// itself, the others must belong to at least two failure domains.
     pub fn is_failing(&self, now: Time) -> bool {
         let counts = |observation: &&Observation| {
             observation.outcome == Outcome::Failed && now.since(observation.at) <= WINDOW
@@ -111,7 +118,7 @@
         if own { !others.is_empty() } else { others.len() >= QUORUM && domains.len() >= QUORUM }
     }
 
-    /// Whether anything is known.
+    /// Returns whether there are no observations.
     pub fn is_empty(&self) -> bool {
         self.observations.is_empty()
     }
--- a/crates/policy/src/presence.rs
+++ b/crates/policy/src/presence.rs
@@ -1,8 +1,9 @@
-//! Who is alive, as entries tell it each other: a list when a link opens, then changes.
+//! Which entries are alive, as they announce it to each other: a full list when a link opens, and
+//! changes after that.
 //!
-//! Pattern: a whole list to each link at each change costs bytes that grow with the square of the
-//! fleet and more, and is worst when all entries start together. Changes are numbered; whoever
-//! misses one sees the gap and asks for the list.
+//! A full list over each link at each change costs bytes that grow at least with the square of the
+//! fleet, and is worst when all entries start together. Changes are therefore numbered: an entry
+//! that missed one detects the gap and requests the full list.
 
 use std::collections::BTreeMap;
 
@@ -12,46 +13,46 @@
 use crate::id;
 use crate::topology::Member;
 
-/// A member that is alive, as one that has a link to it says.
+/// A live member, as announced by an entry that has a link to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Presence {
     /// The member.
     pub member: Member,
-    /// Whether it takes new callers.
+    /// Whether it accepts new callers.
     pub ready: bool,
 }
 
-/// What changed between two numbers of one teller; from 0 it is the whole list.
+/// The changes between two numbers of one publisher. An update that starts from 0 is the full list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// The number that the change starts from.
+    /// The number that the update starts from.
     since: u64,
-    /// The number that it leads to.
+    /// The number that the update leads to.
     number: u64,
-    /// Members that are new or differ.
+    /// Members that are new or have changed.
     put: Vec<Presence>,
     /// Members that are gone.
     gone: Vec<id::Host>,
 }
 
 impl Update {
-    /// How many members it names.
+    /// Returns the number of members in the update.
     pub fn count(&self) -> usize {
         self.put.len() + self.gone.len()
     }
 }
 
-/// An update that does not follow the one before it; the whole list closes the gap.
+/// An update does not follow the one before it. Requesting the full list closes the gap.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("update {since} follows {known}; the whole list must be asked for")]
+#[display("update starts from {since}, but the last one applied is {known}; request the full list")]
 pub struct GapError {
     /// The number that the update starts from.
     pub since: u64,
-    /// The number known here.
+    /// The number of the last update that was applied.
     pub known: u64,
 }
 
-/// What one entry tells.
+/// The list that one entry announces.
 #[derive(Clone, Debug, Default)]
 pub struct Publisher {
     number: u64,
@@ -59,7 +60,8 @@
 }
 
 impl Publisher {
-    /// Takes in who is alive now; what to tell everyone that was told the list before.
+    /// Sets the live members and returns the update for all subscribers that have the list so far;
+    /// `None` if nothing has changed.
     pub fn update(&mut self, alive: impl IntoIterator<Item = Presence>) -> Option<Update> {
         let alive: BTreeMap<id::Host, Presence> =
             alive.into_iter().map(|one| (one.member.host.clone(), one)).collect();
@@ -76,14 +78,14 @@
         Some(Update { since, number: self.number, put, gone })
     }
 
-    /// The whole list, for an entry that was told nothing yet or has missed something.
+    /// Returns the full list, for an entry that has received nothing yet or has missed an update.
     pub fn snapshot(&self) -> Update {
         let put = self.published.values().cloned().collect();
         Update { since: 0, number: self.number, put, gone: Vec::new() }
     }
 }
 
-/// What one entry was told by another.
+/// The list of one publisher, as received by another entry.
 #[derive(Clone, Debug, Default)]
 pub struct Subscriber {
     number: u64,
@@ -91,7 +93,9 @@
 }
 
 impl Subscriber {
-    /// Takes in an update.
+    /// Applies an update.
+    ///
+    /// Returns an error, and changes nothing, if the update does not follow the last one.
     pub fn apply(&mut self, update: Update) -> Result<(), GapError> {
         let Update { since, number, put, gone } = update;
         if since == 0 {
@@ -105,7 +109,7 @@
         Ok(())
     }
 
-    /// Who is said to be alive.
+    /// Returns the members that the publisher announces as alive.
     pub fn alive(&self) -> impl Iterator<Item = &Presence> {
         self.alive.values()
     }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -1,14 +1,16 @@
-//! Which entries carry the traffic, and who links to whom.
+//! Which entries serve callers, and which entries link to each other.
 //!
-//! **Load pattern.** Many small hosts stand beside a few larger ones, and traffic that a handful
-//! could carry. **Without this** every entry takes callers and tells every other what it holds: 80
-//! entries with seven heartbeats a second each spent a fifth of their processors on each other and
-//! half of what a day was worth was lost to it, while each served one answer at a time.
+//! A fleet may consist of many small hosts and a few larger ones, with traffic that a handful could
+//! carry. If every entry served callers and announced its in-flight requests to every other,
+//! heartbeats would cost too much: 80 entries that sent seven heartbeats a second each spent a
+//! fifth of their processors on each other and served one answer at a time each, which lost half of
+//! the value of a day's traffic.
 //!
-//! **The way.** In each failure domain the strongest few are *active*: callers are sent to them, and
-//! they tell each other what they hold. The others link to two actives of their domain, from which
-//! they learn texts and targets, and stand ready to take an active's place: everyone ranks the
-//! members it knows to be alive in the same way, so nobody is elected.
+//! Therefore only the strongest few entries of each failure domain are *active*: callers are sent
+//! to them, and they announce their in-flight requests to each other. Every other entry is a
+//! *leaf*: it links to two actives of its domain, from which it receives texts and targets, and is
+//! ready to replace an active. Every entry ranks the members that it knows to be alive in the same
+//! way, so no election is needed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,44 +20,49 @@
 use crate::id;
 use crate::rendezvous;
 
-/// Members up to which all are active: links among them are few enough, and each that callers may
-/// use is one more that can fail unnoticed.
+/// The largest fleet in which every member is active. It needs few links, while in a larger one
+/// each active that callers may use is one more that can fail unnoticed.
 pub const MAX_ALL_ACTIVE: usize = 12;
 
-/// Actives of one failure domain at most; with five domains thirty entries link to each other.
+/// The maximum number of actives in one failure domain. With five domains, thirty entries link to
+/// each other.
 pub const MAX_ACTIVES_PER_DOMAIN: usize = 6;
 
-/// Actives of one failure domain at least, so that one may fail unnoticed.
+/// The minimum number of actives in one failure domain, so that one may fail without effect on
+/// callers.
 pub const MIN_ACTIVES_PER_DOMAIN: usize = 2;
 
-/// Members of one failure domain that entries tell each other of: twice the actives and a few more,
-/// so that whoever takes the place of actives that are gone is known before, and lists don't grow
-/// with the fleet. More than [`MAX_ALL_ACTIVE`], or a large fleet would pass for a small one.
+/// The number of members of one failure domain that entries announce to each other.
+///
+/// Twice the maximum of actives and a few more, so that the members that replace failed actives are
+/// already known, and lists do not grow with the fleet. It must exceed [`MAX_ALL_ACTIVE`], or a
+/// large fleet would be taken for one in which all are active.
 pub const ANNOUNCED_PER_DOMAIN: usize = 16;
 
-/// Actives that an entry which is none links to.
+/// The number of actives that a leaf links to.
 pub const ACTIVES_PER_LEAF: usize = 2;
 
-/// The part of the strongest member's power that makes an active. Weaker ones would be loaded like
-/// it, since callers choose evenly, and slow down their share of the answers.
+/// The power of an active relative to the strongest member. Callers choose evenly among the
+/// actives, so a weaker one would get the same load and answer its share late.
 const MIN_RELATIVE_POWER: f64 = 0.5;
 
 /// An entry as it describes itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its host.
+    /// The host that it runs on.
     pub host: id::Host,
-    /// Where it stands.
+    /// The failure domain of the host.
     pub domain: id::Domain,
-    /// How much it can carry, in cores.
+    /// The capacity of the host, in cores.
     pub power: f64,
-    /// Where its peers link to it.
+    /// The address on which it accepts links from other entries.
     pub peers: SocketAddr,
-    /// Where callers connect.
+    /// The address on which it serves callers.
     pub callers: SocketAddr,
 }
 
-/// The active members among those that are alive, by host.
+/// Returns the active members among those that are alive, grouped by failure domain unless all are
+/// active.
 pub fn actives(alive: &[Member]) -> Vec<&Member> {
     if alive.len() <= MAX_ALL_ACTIVE {
         return alive.iter().collect();
@@ -74,12 +81,13 @@
     actives
 }
 
-/// Those of the members that entries tell each other of: the first [`ANNOUNCED_PER_DOMAIN`] of each failure domain.
+/// Returns the members that entries announce to each other: the first [`ANNOUNCED_PER_DOMAIN`] of
+/// each failure domain.
 pub fn announced(alive: &[Member]) -> Vec<&Member> {
     ranked(alive).flat_map(|ranked| ranked.into_iter().take(ANNOUNCED_PER_DOMAIN)).collect()
 }
 
-/// The members of each failure domain, those that are to be active first.
+/// Returns the members of each failure domain, strongest first.
 fn ranked(alive: &[Member]) -> impl Iterator<Item = Vec<&Member>> {
     let mut domains: BTreeMap<&id::Domain, Vec<&Member>> = BTreeMap::new();
     for member in alive {
@@ -94,8 +102,10 @@
     })
 }
 
-/// The actives that a member links to: all where it is one itself, else two of its own domain, or
-/// of any where its own has none.
+/// Returns the actives that a member links to.
+///
+/// An active links to all others. A leaf links to [`ACTIVES_PER_LEAF`] actives of its own domain,
+/// or of any domain if its own has none.
 pub fn links<'a>(own: &Member, actives: &[&'a Member]) -> Vec<&'a Member> {
     if actives.iter().any(|active| active.host == own.host) {
         return actives.iter().filter(|active| active.host != own.host).copied().collect();
@@ -103,7 +113,7 @@
     let local: Vec<&'a Member> =
         actives.iter().filter(|active| active.domain == own.domain).copied().collect();
     let candidates = if local.is_empty() { actives.to_vec() } else { local };
-    // Each leaf ranks for itself, so that the leaves of a domain spread over its actives.
+    // Each leaf ranks by its own host, so that the leaves of a domain spread over its actives.
     let ranked = rendezvous::rank(own.host.as_str(), &candidates, |active| active.host.as_str());
     ranked.into_iter().take(ACTIVES_PER_LEAF).copied().collect()
 }
