--- a/crates/policy/src/version/fetch.rs
+++ b/crates/policy/src/version/fetch.rs
@@ -1,4 +1,4 @@
-//! From whom a newer text is fetched, and when another neighbour is asked instead.
+//! Which neighbour a newer text is fetched from, and when to switch to another.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 use crate::time::Time;
 use crate::version::Stamp;
 
-/// How long one neighbour may take for one step before another is asked: two heartbeats.
+/// How long a neighbour may take for one step before another one may be asked: longer than one
+/// heartbeat interval of members, 1.5 s.
 const STEP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One fetch at a time, from one neighbour at a time.
+/// A single fetch from a single neighbour at a time.
 #[derive(Clone, Debug)]
 pub struct Fetch<S = Stamp> {
     job: Option<Job<S>>,
@@ -29,10 +30,11 @@
 }
 
 impl<S: Copy + Ord> Fetch<S> {
-    /// A neighbour announced a version that is wanted; whether to ask it for the manifest.
+    /// Handles the announcement of a wanted version. Returns whether to start a fetch from this
+    /// neighbour; while another fetch is running and has not timed out, only for a newer version.
     pub fn start(&mut self, now: Time, from: &id::Host, stamp: S) -> bool {
-        // The failure: the neighbour died or its link fell silent during a fetch, and the version
-        // never arrives here. After the patience any neighbour's next heartbeat begins anew.
+        // A neighbour may die or its link go silent during a fetch, and the version would never
+        // arrive. After the timeout the next heartbeat of any neighbour starts the fetch again.
         let busy = |job: &Job<S>| job.stamp >= stamp && now.since(job.asked_at) < STEP_TIMEOUT;
         if self.job.as_ref().is_some_and(busy) {
             return false;
@@ -41,8 +43,8 @@
         true
     }
 
-    /// Whether an answer comes from the neighbour that was asked and carries at least the version
-    /// that it announced; if so, its patience begins anew.
+    /// Returns whether an answer comes from the neighbour that was asked and carries at least the
+    /// version that it announced. If so, the timeout starts again.
     pub fn accept(&mut self, now: Time, from: &id::Host, stamp: S) -> bool {
         match self.job.as_mut() {
             Some(job) if job.from == *from && stamp >= job.stamp => {
@@ -53,22 +55,23 @@
         }
     }
 
-    /// Whether this neighbour is the one that is asked.
+    /// Returns whether the fetch is from this neighbour.
     pub fn is_from(&self, neighbour: &id::Host) -> bool {
         self.job.as_ref().is_some_and(|job| job.from == *neighbour)
     }
 
-    /// A version came from elsewhere: a fetch of one that is no newer ends.
+    /// Ends the fetch if it is for a version no newer than `stamp`, which has arrived from
+    /// elsewhere.
     pub fn cancel_superseded(&mut self, stamp: S) {
         self.job.take_if(|job| job.stamp <= stamp);
     }
 
-    /// Whether any neighbour is asked.
+    /// Returns whether a fetch is running.
     pub fn is_open(&self) -> bool {
         self.job.is_some()
     }
 
-    /// The fetch has ended, whole or in vain.
+    /// Ends the fetch, whether it succeeded or failed.
     pub fn end(&mut self) {
         self.job = None;
     }
--- a/crates/policy/src/version/mod.rs
+++ b/crates/policy/src/version/mod.rs
@@ -1,11 +1,13 @@
-//! Versions of the operators' text: their order, acceptance, readiness, watchers and transfer.
+//! Versions of the operators' text: order, acceptance, readiness, watchers and transfer.
 //!
-//! Every process keeps the maximum version that it has seen and found valid. Taking a maximum is a
-//! join over a semilattice, so order of arrival, stale reads and healing partitions cannot make a
-//! version go back. Load pattern: 840 changes a day of a text of up to a megabyte, read by 330
-//! processes from a service that answers 2,000 reads a second in all. Without the bounded watchers
-//! every process would wait there; without sections a change would cost each process a megabyte.
-//! See `docs/DESIGN.md`, section "Versions that never go back".
+//! Every process keeps the maximum of the valid versions that it has seen. The maximum is a join
+//! over a semilattice, so a version never goes back, whatever the order of arrival, stale reads or
+//! healing partitions.
+//!
+//! The design size is 840 changes a day of a text of up to a megabyte, read by 330 processes from a
+//! service that answers 2,000 reads a second in all. A bounded number of watchers keeps most
+//! processes from waiting at that service, and transfer by sections keeps a change from costing
+//! each process a megabyte.
 
 mod fetch;
 mod readiness;
@@ -23,7 +25,7 @@
 pub use tracker::{Tracker, Verdict};
 pub use watch::{WATCHERS_PER_DOMAIN, is_watcher, poll_interval};
 
-/// A version of the text: revision first, then digest, so that any two differ in order.
+/// A version of the text, ordered by revision and then by digest, so that the order is total.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Version {
     revision: u64,
@@ -31,22 +33,22 @@
 }
 
 impl Version {
-    /// The version of a text published as `source` with `revision`.
+    /// Returns the version of the text `source` published with `revision`.
     pub fn of(revision: u64, source: &str) -> Self {
         Self { revision, digest: Sha256::digest(source.as_bytes()).into() }
     }
 
-    /// The revision.
+    /// Returns the revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// SHA-256 of the text as published.
+    /// Returns the SHA-256 digest of the text as published.
     pub fn digest(&self) -> &[u8] {
         &self.digest
     }
 
-    /// The short form that heartbeats carry.
+    /// Returns the short form that heartbeats carry.
     pub fn stamp(&self) -> Stamp {
         let mut prefix = [0; 8];
         prefix.copy_from_slice(&self.digest[..8]);
@@ -73,9 +75,10 @@
     }
 }
 
-/// A version cut to 16 bytes: the revision and the first 8 bytes of the digest.
+/// A version shortened to 16 bytes: the revision and the first 8 bytes of the digest.
 ///
-/// Its order agrees with that of [`Version`] except where 64 bits of two digests collide.
+/// The order is the same as that of [`Version`], except where the first 64 bits of two digests
+/// collide.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -85,7 +88,8 @@
 }
 
 impl Stamp {
-    /// The least stamp of a revision, for what is announced by its revision alone.
+    /// Returns the least stamp of a revision, for versions that are announced by their revision
+    /// alone.
     pub fn least(revision: u64) -> Self {
         Self { revision, prefix: 0 }
     }
--- a/crates/policy/src/version/readiness.rs
+++ b/crates/policy/src/version/readiness.rs
@@ -1,7 +1,8 @@
-//! When a process may serve: only after peers and platform were asked for the newest version.
+//! When a process may serve: only after it has asked peers and the platform for the newest version.
 //!
-//! A process that starts, or wakes from a pause, knows nothing newer than what it is told first. If
-//! that came from a stale platform, it would serve a version that the fleet has left behind.
+//! A process that starts, or resumes after a pause, knows no version but the first one that it
+//! receives. If that came from a stale platform, it would serve a version that the fleet has
+//! already replaced.
 
 use std::time::Duration;
 
@@ -10,19 +11,19 @@
 use crate::time::Time;
 use crate::version::Stamp;
 
-/// How long each source may take to answer before it counts as silent: three heartbeats, and a
-/// platform that answers in milliseconds needs none of it.
+/// How long each source may take to answer before it counts as silent: two heartbeat intervals of
+/// members, while a platform answers within milliseconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What came of asking one source.
+/// The result of asking one source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Contact {
-    /// No answer yet.
+    /// It has not answered yet.
     #[default]
     Pending,
-    /// It answered.
+    /// It has answered.
     Answered,
-    /// It cannot be reached, or stayed silent.
+    /// It cannot be reached or did not answer in time.
     Silent,
 }
 
@@ -32,24 +33,24 @@
     /// It may serve.
     #[display("ready")]
     Ready,
-    /// Peers were not asked yet.
+    /// The peers have not answered yet.
     #[display("asking peers")]
     AskingPeers,
-    /// The platform was not asked yet.
+    /// The platform has not answered yet.
     #[display("asking the platform")]
     AskingPlatform,
-    /// Neither peers nor platform answered.
+    /// Neither peers nor the platform answered.
     #[display("neither peers nor the platform answer")]
     Alone,
     /// No text is known.
     #[display("no text is published")]
     NoVersion,
-    /// A peer has announced a newer version, which is on its way.
+    /// A peer has announced a newer version, which is being fetched.
     #[display("a newer text is on its way")]
     Behind,
 }
 
-/// What one process has asked since it started or woke.
+/// The sources that one process has asked since it started or resumed.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
     since: Time,
@@ -60,7 +61,7 @@
 }
 
 impl Readiness {
-    /// Begins to ask at `now`.
+    /// Starts asking at `now`.
     pub fn open(now: Time) -> Self {
         Self {
             since: now,
@@ -71,30 +72,30 @@
         }
     }
 
-    /// Takes in what came of asking the platform.
+    /// Sets the result of asking the platform.
     pub fn set_platform(&mut self, contact: Contact) {
-        // An answer counts even where a later read fails: it has been asked.
+        // An answer still counts if a later read fails.
         if self.platform != Contact::Answered {
             self.platform = contact;
         }
     }
 
-    /// Takes in what came of asking the peers.
+    /// Sets the result of asking the peers; an answer still counts if a later call reports none.
     pub fn set_peers(&mut self, contact: Contact) {
         if self.peers != Contact::Answered {
             self.peers = contact;
         }
     }
 
-    /// Takes in a version that a peer announced and that is not refused here.
+    /// Records a version that a peer announced and that is not refused here.
     pub fn note_announced(&mut self, stamp: Stamp) {
         self.newest = self.newest.max(stamp);
     }
 
-    /// Whether the process may serve with the version behind `stamp` in force.
+    /// Returns whether the process may serve while `stamp` is in force.
     ///
-    /// Once it may, it goes on: the failure would be a fleet whose every member stops serving for a
-    /// moment whenever a host is listed or a text published.
+    /// A process that may serve stays ready. Otherwise every process of the fleet would stop
+    /// serving for a moment whenever a host is listed or a text is published.
     pub fn standing(&mut self, now: Time, stamp: Stamp) -> Standing {
         let standing = if self.ready { Standing::Ready } else { self.evaluate(now, stamp) };
         self.ready = standing == Standing::Ready;
--- a/crates/policy/src/version/tracker.rs
+++ b/crates/policy/src/version/tracker.rs
@@ -1,4 +1,4 @@
-//! Which version is in force, which were refused, and whether two texts share a revision.
+//! Which version is in force, which versions were refused, and whether two texts share a revision.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 
 use crate::version::{Stamp, Version};
 
-/// Refusals that are remembered; the oldest revision is forgotten first.
+/// The number of refusals that are kept; the one with the oldest revision is evicted first.
 ///
-/// Enough for a day in which every tenth of 840 changes is wrong to show in `status`, and small
+/// Enough for `status` to show a day in which every tenth of 840 changes is invalid, and small
 /// enough to bound the state.
 const MAX_REFUSED: usize = 84;
 
-/// What becomes of a version that was offered.
+/// The decision about an offered version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the newest seen: put it in force.
+    /// It is the newest version seen and comes into force.
     Adopt,
-    /// It is the one in force.
+    /// It is already in force.
     Same,
-    /// A newer one is in force; an old text that comes late changes nothing.
+    /// A newer version is in force; an old text that arrives late changes nothing.
     Older,
-    /// Its text is invalid; the one in force stays.
+    /// Its text is invalid; the version in force stays.
     Refused,
 }
 
@@ -34,32 +34,33 @@
 }
 
 impl Tracker {
-    /// The version in force.
+    /// Returns the version in force.
     pub fn in_force(&self) -> Option<Version> {
         self.in_force
     }
 
-    /// The short form of the version in force; the least stamp where there is none.
+    /// Returns the stamp of the version in force, or the least stamp if there is none.
     pub fn stamp(&self) -> Stamp {
         self.in_force.map(|version| version.stamp()).unwrap_or_default()
     }
 
-    /// The newest refused version and why, if it is newer than the one in force.
+    /// Returns the newest refused version and the reason, if it is newer than the version in force.
     pub fn refusal(&self) -> Option<(&Version, &SmolStr)> {
         self.refused.last_key_value().filter(|(version, _)| Some(**version) > self.in_force)
     }
 
-    /// The last two different texts seen under one revision.
+    /// Returns the last two different texts seen under one revision.
     pub fn conflict(&self) -> Option<(Version, Version)> {
         self.conflict
     }
 
-    /// Whether the text behind a stamp is worth fetching from a peer.
+    /// Returns whether to fetch the text of a stamp from a peer: it is newer than the one in force
+    /// and was not refused.
     pub fn wants(&self, stamp: Stamp) -> bool {
         stamp > self.stamp() && !self.refused.keys().any(|version| version.stamp() == stamp)
     }
 
-    /// Decides about a version whose text was found valid, or not, with the reason.
+    /// Decides about a version whose text was validated; an invalid one comes with the reason.
     pub fn offer(&mut self, version: Version, validity: Result<(), SmolStr>) -> Verdict {
         if let Err(reason) = validity {
             self.refuse(version, reason);
@@ -69,13 +70,14 @@
             self.in_force = Some(version);
             return Verdict::Adopt;
         };
-        // Two operators published at once: the order decides everywhere alike, and it is told.
+        // Two operators published different texts under one revision. The order of versions decides
+        // the same everywhere, and the conflict is reported.
         if current != version && current.revision() == version.revision() {
             self.conflict = Some((current.min(version), current.max(version)));
         }
-        // The failure: a stale platform or a peer behind a partition offers an old text late. It
-        // would show as a service or limit that comes back after its removal. Only a greater
-        // version is ever taken, so no order of arrival can bring one back.
+        // A stale platform or a peer behind a partition may offer an old text late, which would
+        // restore a removed service or limit. Only a greater version is ever adopted, so no order
+        // of arrival can restore an old one.
         if version < current {
             return Verdict::Older;
         }
