--- a/crates/policy/tests/bootstrap.rs
+++ b/crates/policy/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Pattern: hundreds of entries start at the same moment; see `policy::bootstrap`.
+//! Hundreds of entries start at the same moment and need what the registry holds.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use yare::parameterized;
 
-/// From the reading of one entry until the news has passed its seed and reached the others.
+/// The time from the read of one entry until the result has passed its seed and reached the others.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(500);
 
 const STEP: Duration = Duration::from_millis(10);
@@ -17,7 +17,8 @@
     Time::ZERO + span
 }
 
-/// How many of `size` entries read, linked to seeds that can't, and when the first of them does.
+/// Returns how many of `size` entries read when they are linked to seeds that cannot, and when the
+/// first of them does.
 fn readers(size: usize, seed: u64) -> (usize, Duration) {
     let mut random = StdRng::seed_from_u64(seed);
     let waiting: Vec<Bootstrap> =
@@ -38,7 +39,7 @@
     }
 }
 
-/// Guards against a registry that is read by each entry of a fleet whose seeds can't read it.
+/// A fleet whose seeds cannot read the registry must not read it with every entry.
 #[parameterized(
     small = { 6 },
     grown = { 60 },
@@ -54,9 +55,9 @@
     }
 }
 
-/// Guards against an entry that waits for ever for peers that know nothing.
+/// An entry must not wait forever for peers that have nothing.
 #[test]
-fn everyone_reads_in_the_end() {
+fn every_entry_reads_eventually() {
     for draw in [0.0, 0.5, 0.999_999] {
         let entry = Bootstrap::member(Time::ZERO, draw);
         assert!(entry.is_due(at(READ_DEADLINE), Peers::None));
@@ -65,16 +66,16 @@
     }
 }
 
-/// Guards against an entry that reads what a peer is about to tell it.
+/// An entry must not read what a peer is about to send.
 #[test]
-fn nobody_reads_while_a_peer_can_tell() {
+fn no_entry_reads_while_a_peer_is_informed() {
     for draw in [0.0, 0.5, 0.999_999] {
         let entry = Bootstrap::member(Time::ZERO, draw);
         assert!(!entry.is_due(at(TRANSFER_GRACE - STEP), Peers::Informed));
     }
 }
 
-/// Guards against a fleet in which all wait for others.
+/// Seeds must not wait, or all entries of a fleet would wait for each other.
 #[test]
 fn seeds_read_at_once() {
     let seed = Bootstrap::seed(Time::ZERO);
--- a/crates/policy/tests/directory.rs
+++ b/crates/policy/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Pattern `named-after-its-end`: entries of a large fleet end, and none may be named to callers for long.
+//! Entries of a large fleet end, and must not be offered to callers for long.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,14 +11,14 @@
 const ENTRIES: usize = 195;
 const DOMAINS: usize = 5;
 
-/// A link that carries nothing for so long is taken for lost.
-const SILENT: Duration = Duration::from_millis(900);
+/// The silence after which a link counts as lost.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How often an entry looks at its links and tells what changed.
-const LOOK: Duration = Duration::from_millis(200);
+/// The interval at which an entry checks its links and announces changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Within which nobody may name an entry that has ended.
-const BOUND: Duration = Duration::from_secs(7);
+/// The time within which no entry may offer one that has ended.
+const MAX_OFFERED: Duration = Duration::from_secs(7);
 
 fn member(n: usize) -> Member {
     Member {
@@ -33,25 +33,25 @@
 #[derive(Default)]
 struct Entry {
     publisher: Publisher,
-    /// Whom it has links to, and what each tells it.
+    /// The entries that it has links to, and what each of them announces.
     links: BTreeMap<usize, Subscriber>,
-    named: BTreeSet<id::Host>,
+    offered: BTreeSet<id::Host>,
 }
 
-/// A fleet whose entries look at their links all in turn.
-struct World {
+/// A fleet whose entries all check their links in turn.
+struct Fleet {
     entries: Vec<Entry>,
-    /// When each ended, in looks.
+    /// The check in which each entry ended.
     ended: BTreeMap<usize, u32>,
-    look: u32,
-    /// Entries that have one link only.
-    lonely: BTreeSet<usize>,
+    check: u32,
+    /// Entries that have a single link.
+    single_link: BTreeSet<usize>,
 }
 
-impl World {
-    fn open(lonely: BTreeSet<usize>) -> Self {
+impl Fleet {
+    fn open(single_link: BTreeSet<usize>) -> Self {
         let entries = (0..ENTRIES).map(|_| Entry::default()).collect();
-        let mut world = Self { entries, ended: BTreeMap::new(), look: 0, lonely };
+        let mut fleet = Self { entries, ended: BTreeMap::new(), check: 0, single_link };
         let all: Vec<Member> = (0..ENTRIES).map(member).collect();
         let actives = topology::actives(&all);
         let numbers: BTreeMap<&id::Host, usize> =
@@ -59,26 +59,26 @@
         for (n, own) in all.iter().enumerate() {
             let mut links: Vec<usize> =
                 topology::links(own, &actives).iter().map(|other| numbers[&other.host]).collect();
-            if world.lonely.contains(&n) {
+            if fleet.single_link.contains(&n) {
                 links.truncate(1);
             }
             for other in links {
-                world.entries[n].links.entry(other).or_default();
-                world.entries[other].links.entry(n).or_default();
+                fleet.entries[n].links.entry(other).or_default();
+                fleet.entries[other].links.entry(n).or_default();
             }
         }
-        (0..5).for_each(|_| world.step());
-        world
+        (0..5).for_each(|_| fleet.step());
+        fleet
     }
 
-    /// Whether an entry takes another for gone.
+    /// Returns whether the links to an entry count as lost.
     fn is_lost(&self, other: usize) -> bool {
-        let silent = |at: &u32| LOOK * (self.look - at) >= SILENT;
+        let silent = |at: &u32| CHECK_INTERVAL * (self.check - at) >= SILENCE_TIMEOUT;
         self.ended.get(&other).is_some_and(silent)
     }
 
     fn step(&mut self) {
-        self.look += 1;
+        self.check += 1;
         for n in (0..ENTRIES).filter(|n| !self.ended.contains_key(n)).collect::<Vec<_>>() {
             let lost: Vec<usize> = self.entries[n]
                 .links
@@ -89,50 +89,56 @@
             lost.iter().for_each(|other| _ = self.entries[n].links.remove(other));
             let linked: Vec<Member> =
                 self.entries[n].links.keys().copied().chain([n]).map(member).collect();
-            let told = topology::announced(&linked);
-            let told = told.into_iter().map(|m| Presence { member: m.clone(), ready: true });
-            let Some(update) = self.entries[n].publisher.update(told) else { continue };
+            let announced = topology::announced(&linked);
+            let announced =
+                announced.into_iter().map(|m| Presence { member: m.clone(), ready: true });
+            let Some(update) = self.entries[n].publisher.update(announced) else { continue };
             let snapshot = self.entries[n].publisher.snapshot();
             for other in self.entries[n].links.keys().copied().collect::<Vec<_>>() {
                 let Some(known) = self.entries[other].links.get_mut(&n) else { continue };
                 if known.apply(update.clone()).is_err() {
-                    known.apply(snapshot.clone()).expect("a snapshot list follows nothing");
+                    known.apply(snapshot.clone()).expect("a snapshot applies to any state");
                 }
             }
         }
         for n in 0..ENTRIES {
             let entry = &self.entries[n];
-            let told =
+            let announced =
                 entry.links.values().flat_map(Subscriber::alive).map(|one| one.member.clone());
             let linked = entry.links.keys().copied().chain([n]).map(member);
-            let mut alive: Vec<Member> = told.chain(linked).collect();
+            let mut alive: Vec<Member> = announced.chain(linked).collect();
             alive.sort_by(|a, b| a.host.cmp(&b.host));
             alive.dedup_by(|a, b| a.host == b.host);
-            let named = topology::actives(&alive).into_iter().map(|one| one.host.clone()).collect();
-            self.entries[n].named = named;
+            let offered =
+                topology::actives(&alive).into_iter().map(|one| one.host.clone()).collect();
+            self.entries[n].offered = offered;
         }
     }
 }
 
-/// Guards against entries that are named to callers long after they have ended.
+/// An entry that has ended must not be offered to callers for long, whichever entries end together.
 #[parameterized(
     one_active = { &[0] },
     a_third_of_the_actives = { &[0, 1, 2, 3, 4] },
     a_domain = { &[0, 5, 10, 15, 20, 25, 30, 35, 40, 45, 50] },
     leaves = { &[100, 101, 102] },
 )]
-fn an_entry_that_ended_is_soon_named_by_nobody(ended: &[usize]) {
-    let mut world = World::open(BTreeSet::from([150, 151, 152]));
+fn ended_entry_is_not_offered_after_seven_seconds(ended: &[usize]) {
+    let mut fleet = Fleet::open(BTreeSet::from([150, 151, 152]));
     let gone: BTreeSet<id::Host> = ended.iter().map(|n| member(*n).host).collect();
-    ended.iter().for_each(|n| _ = world.ended.insert(*n, world.look));
-    let began = world.look;
-    let names = |world: &World| {
-        let alive = (0..ENTRIES).filter(|n| !world.ended.contains_key(n));
-        alive.filter(|n| !world.entries[*n].named.is_disjoint(&gone)).count()
+    ended.iter().for_each(|n| _ = fleet.ended.insert(*n, fleet.check));
+    let started = fleet.check;
+    let count_offering = |fleet: &Fleet| {
+        let alive = (0..ENTRIES).filter(|n| !fleet.ended.contains_key(n));
+        alive.filter(|n| !fleet.entries[*n].offered.is_disjoint(&gone)).count()
     };
-    while names(&world) > 0 {
-        world.step();
-        assert!(LOOK * (world.look - began) < BOUND, "{} still name them", names(&world));
+    while count_offering(&fleet) > 0 {
+        fleet.step();
+        assert!(
+            CHECK_INTERVAL * (fleet.check - started) < MAX_OFFERED,
+            "{} entries still offer them",
+            count_offering(&fleet)
+        );
     }
-    println!("{:?}", LOOK * (world.look - began));
+    println!("{:?}", CHECK_INTERVAL * (fleet.check - started));
 }
--- a/crates/policy/tests/heartbeat.rs
+++ b/crates/policy/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Pattern `steady sends`: heartbeats keep their time while generations begin all the while.
+//! Heartbeats keep their interval while generations begin all the time.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
     Time::ZERO + Duration::from_millis(ms)
 }
 
-/// An entry begins a generation every 50 ms. Each wakes the heartbeats; where that moves the next
-/// ordinary one, it never comes, the hosts that stand by hear nothing for 0.9 s, close their links
-/// and ask the registry themselves.
+/// An entry that begins a generation every 50 ms wakes its heartbeat loop each time. If that moved
+/// the next regular heartbeat, it would never be sent: after 0.9 s of silence the leaves close
+/// their links and read the registry themselves.
 #[parameterized(
     idle = { 10_000 },
     some = { 140 },
     steady = { 50 },
     rush = { 3 },
 )]
-fn leaves_hear_an_entry_however_often_it_sends(every_ms: u64) {
+fn leaves_get_heartbeats_however_often_an_entry_sends(every_ms: u64) {
     let mut schedule = Schedule::open(at(0));
     let (mut now, mut sent) = (at(0), at(0));
     let mut received = vec![now];
     while now < at(3_000) {
         let wakeup = now + schedule.wait(now);
-        // A send wakes earlier, and those of the next moment are waited for.
+        // A send wakes the loop earlier, and sends that follow within the delay are coalesced.
         now = if sent < wakeup { sent.max(now) + COALESCE_DELAY } else { wakeup };
         while sent <= now {
             sent = sent + Duration::from_millis(every_ms);
@@ -39,9 +39,9 @@
     assert!(longest <= Some(2 * (INTERVAL + COALESCE_DELAY)), "{longest:?}");
 }
 
-/// A process that was paused for seconds owes one heartbeat, not one for each that it missed.
+/// After a pause of seconds a process sends one heartbeat, not one for each that it missed.
 #[test]
-fn a_pause_is_not_made_up_for() {
+fn missed_heartbeats_are_not_caught_up() {
     let mut schedule = Schedule::open(at(0));
     assert!(schedule.take_due(at(5_000)).is_some());
     assert_eq!(schedule.take_due(at(5_010)), None);
--- a/crates/policy/tests/observation.rs
+++ b/crates/policy/tests/observation.rs
@@ -1,5 +1,4 @@
-//! Pattern: many entries before a target that takes connections and fails what is sent; see
-//! `policy::observation`.
+//! Many entries use a target that accepts connections and fails the requests.
 
 use std::time::Duration;
 
@@ -12,16 +11,16 @@
 
 const ENTRIES: usize = 30;
 
-/// Engines, each of which the whole fleet meets about once a second.
+/// The number of engines; the whole fleet sends each of them about one request a second.
 const ENGINES: usize = 59;
 
-/// Targets of lookups, each of which it meets eleven times a second.
+/// The number of lookup targets; the whole fleet sends each of them eleven requests a second.
 const LOOKUPS: usize = 5;
 
-/// Between two requests of the whole fleet.
+/// The time between two requests of the whole fleet.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(18);
 
-/// Between two heartbeats, which carry what each saw to the others.
+/// The time between two heartbeats, which carry the outcomes to other entries.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 const ANSWERED: Sample = Sample::Latency(Duration::from_millis(20));
@@ -79,8 +78,8 @@
         }
     }
 
-    /// Sends requests for a while; how many failed, where `fails` says of an entry and a target
-    /// whether one does.
+    /// Sends requests for `span` and returns how many failed; `fails` decides for an entry and a
+    /// target.
     fn run(&mut self, span: Duration, fails: impl Fn(&mut StdRng, usize, usize) -> bool) -> usize {
         let end = self.now + span;
         let mut failed = 0;
@@ -103,22 +102,22 @@
             if !fails {
                 self.detectors[entry].answered(now, &target(chosen));
             }
-            // What runs there goes on, whatever becomes of new requests.
+            // Requests in flight at the target complete, whatever becomes of new ones.
             self.detectors[entry].record(now, &target(chosen), ANSWERED);
         }
         failed
     }
 
-    /// How many entries use a target no more.
+    /// Returns how many entries have ejected a target.
     fn ejected(&self, n: usize) -> usize {
         let is_out = |detector: &&Detector| detector.weight(at(self.now), &target(n)) == 0.0;
         self.detectors.iter().filter(is_out).count()
     }
 }
 
-/// Guards against losing, at each target that fails, some requests for every entry.
+/// A failing target must not cost every entry some requests of its own.
 #[test]
-fn four_failing_targets_cost_a_few_requests_each() {
+fn failing_targets_cost_a_few_requests_each() {
     let mut fleet = Fleet::open(ENGINES);
     fleet.run(Duration::from_secs(5), |_, _, _| false);
     let failed = fleet.run(Duration::from_secs(8), |_, _, target| target < 4);
@@ -127,9 +126,9 @@
     assert_eq!((4..ENGINES).map(|n| fleet.ejected(n)).sum::<usize>(), 0);
 }
 
-/// Guards against one entry with a bad link that takes healthy targets from all others.
+/// An entry with a bad link must not eject healthy targets for all others.
 #[test]
-fn one_entry_alone_ejects_nothing_for_the_others() {
+fn one_entry_alone_ejects_nothing_elsewhere() {
     let mut fleet = Fleet::open(ENGINES);
     fleet.run(Duration::from_secs(20), |_, entry, _| entry == 3);
     let by_others = |n| {
@@ -140,9 +139,9 @@
     assert!(!(0..ENGINES).any(by_others));
 }
 
-/// Guards against a failure domain with a bad link that takes healthy targets from the others.
+/// A failure domain with a bad link must not eject healthy targets for the other domains.
 #[test]
-fn a_target_that_one_domain_cannot_reach_stays_in_use_elsewhere() {
+fn target_unreachable_from_one_domain_stays_in_use_elsewhere() {
     let mut fleet = Fleet::open(ENGINES);
     fleet.run(Duration::from_secs(20), |_, entry, target| entry % 5 == 2 && target < 10);
     let elsewhere = |n| {
@@ -153,18 +152,18 @@
     assert!(!(0..10).any(elsewhere));
 }
 
-/// Guards against ejecting a busy target that answers most of what it is sent.
+/// A busy target that answers most requests must not be ejected.
 #[test]
-fn a_busy_target_that_fails_a_part_stays_in_use() {
+fn partly_failing_busy_target_stays_in_use() {
     let mut fleet = Fleet::open(LOOKUPS);
     fleet.run(Duration::from_secs(20), |random, _, _| random.random_bool(0.14));
     assert_eq!((0..LOOKUPS).map(|n| fleet.ejected(n)).sum::<usize>(), 0);
 }
 
-/// Guards against taking two failures at once for one that fails whatever is sent, before others
-/// could say that it answers them.
+/// Two failures at the same moment must not eject a target before other entries could share that it
+/// answers them.
 #[test]
-fn others_have_time_to_say_that_it_answers() {
+fn ejection_waits_for_answers_of_other_entries() {
     let mut detector = Detector::open();
     detector.set_targets(&[target(0), target(1), target(2), target(3)]);
     let now = at(WINDOW);
@@ -178,9 +177,9 @@
     assert_eq!(detector.weight(now + CONFIRMATION_DELAY * 4, &target(0)), 0.0);
 }
 
-/// Guards against failures of long ago that count with one of now.
+/// An old failure must not count together with a new one.
 #[test]
-fn outcomes_are_forgotten() {
+fn outcomes_expire() {
     let mut detector = Detector::open();
     detector.set_targets(&[target(0), target(1), target(2), target(3)]);
     detector.hear(at(WINDOW), &target(0), observer(1), Outcome::Failed);
--- a/crates/policy/tests/presence.rs
+++ b/crates/policy/tests/presence.rs
@@ -1,5 +1,4 @@
-//! Pattern: all entries of a large fleet start together and tell each other who is alive; see
-//! `policy::presence` and `policy::topology`.
+//! All entries of a large fleet start together and announce to each other which entries are alive.
 
 use fireflyhoist_policy::presence::{GapError, Presence, Publisher, Subscriber};
 use fireflyhoist_policy::topology::{ANNOUNCED_PER_DOMAIN, Member, actives, announced};
@@ -20,56 +19,60 @@
     Presence { member: member(n), ready: true }
 }
 
-/// What a seed tells, of those that it has links to.
-fn leading(linked: &[usize]) -> Vec<Presence> {
+/// Returns what a seed announces when it has links to these members.
+fn announcement(linked: &[usize]) -> Vec<Presence> {
     let members: Vec<Member> = linked.iter().map(|n| member(*n)).collect();
     announced(&members).into_iter().map(|m| Presence { member: m.clone(), ready: true }).collect()
 }
 
-/// Guards against lists that grow with the square of the fleet while all of it starts.
+/// Lists that grow with the square of the fleet while all of it starts would overload the links of
+/// a seed.
 #[test]
-fn what_a_seed_tells_one_link_does_not_grow_with_the_square_of_the_fleet() {
+fn records_per_link_grow_linearly_while_the_fleet_starts() {
     let size = 300;
     let (mut publisher, mut records) = (Publisher::default(), 0);
-    // Those that are to be active come last, which is the worst order.
+    // The members that become active come last, which is the worst order.
     for joined in 1..=size {
         let linked: Vec<usize> = (size - joined..size).collect();
-        records += publisher.update(leading(&linked)).map_or(0, |update| update.count());
+        records += publisher.update(announcement(&linked)).map_or(0, |update| update.count());
     }
-    // Each that joins is named once when it comes and once when better ones take its place.
+    // Each member is counted once when it joins and once when stronger ones replace it.
     assert!(records <= 2 * size, "{records} records");
     assert!(publisher.snapshot().count() <= DOMAINS * ANNOUNCED_PER_DOMAIN);
 }
 
-/// Guards against an entry that takes another's part in the fleet for its own, since it knows only
-/// the leading members.
+/// An entry knows only the announced members. It must compute the same actives from them as from
+/// the whole fleet, or it mistakes its role.
 #[test]
-fn leading_members_are_enough_to_know_the_actives() {
+fn announced_members_determine_the_actives() {
     let all: Vec<Member> = (0..300).map(member).collect();
-    let leading: Vec<Member> = announced(&all).into_iter().cloned().collect();
+    let announced_members: Vec<Member> = announced(&all).into_iter().cloned().collect();
     let names = |members: &[Member]| -> Vec<String> {
         actives(members).iter().map(|member| member.host.to_string()).collect()
     };
-    assert!(leading.len() < all.len());
-    assert_eq!(names(&all), names(&leading));
+    assert!(announced_members.len() < all.len());
+    assert_eq!(names(&all), names(&announced_members));
 }
 
-/// Guards against a member that stays known for good because the word of its end was lost.
+/// A lost update must be detected, or a member that has ended stays known for good.
 #[test]
-fn a_missed_update_is_seen_and_mended_by_the_list() {
+fn missed_update_is_detected_and_repaired_by_a_snapshot() {
     let (mut publisher, mut subscriber) = (Publisher::default(), Subscriber::default());
-    subscriber.apply(publisher.update([present(1), present(2)]).expect("news")).expect("the first");
-    publisher.update([present(1)]).expect("a loss that is not delivered");
-    let next = publisher.update([present(1), present(3)]).expect("news");
+    subscriber
+        .apply(publisher.update([present(1), present(2)]).expect("an update"))
+        .expect("the first update");
+    publisher.update([present(1)]).expect("an update that is lost");
+    let next = publisher.update([present(1), present(3)]).expect("an update");
     assert_eq!(subscriber.apply(next), Err(GapError { since: 2, known: 1 }));
-    subscriber.apply(publisher.snapshot()).expect("a whole list");
+    subscriber.apply(publisher.snapshot()).expect("a snapshot");
     let known: Vec<String> = subscriber.alive().map(|one| one.member.host.to_string()).collect();
     assert_eq!(known, ["h-1", "h-3"]);
 }
 
-/// Guards against frames that say nothing, five times a second to each link.
+/// An unchanged list must produce no update, or every link carries empty frames five times a
+/// second.
 #[test]
-fn nothing_is_told_while_nothing_changes() {
+fn no_update_without_a_change() {
     let mut publisher = Publisher::default();
     assert!(publisher.update([present(1)]).is_some());
     assert!(publisher.update([present(1)]).is_none());
--- a/crates/policy/tests/topology.rs
+++ b/crates/policy/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Pattern: many small hosts beside a few larger ones; see `policy::topology`.
+//! Selection of actives and links in fleets with many small hosts and a few larger ones.
 
 use fireflyhoist_policy::topology::{
     ACTIVES_PER_LEAF, MIN_ACTIVES_PER_DOMAIN, Member, actives, links,
@@ -14,7 +14,8 @@
     }
 }
 
-/// Eighty hosts in three domains, two of each domain four times as strong as the rest.
+/// Returns eighty hosts in three domains; two hosts of each domain are four times as powerful as
+/// the rest.
 fn fleet() -> Vec<Member> {
     (0..80).map(|n| member(n, n % 3, if n < 6 { 0.5 } else { 0.12 })).collect()
 }
@@ -25,36 +26,36 @@
     names
 }
 
-/// Small fleets have no leaves: each entry takes callers.
+/// A small fleet has no leaves: every entry serves callers.
 #[test]
-fn all_of_a_few_are_active() {
-    let few: Vec<Member> = (0..8).map(|n| member(n, n % 3, 0.25)).collect();
-    assert_eq!(actives(&few).len(), 8);
+fn all_members_of_a_small_fleet_are_active() {
+    let small: Vec<Member> = (0..8).map(|n| member(n, n % 3, 0.25)).collect();
+    assert_eq!(actives(&small).len(), 8);
 }
 
-/// Callers choose evenly among the addresses that they are given; a weak host among strong ones
-/// makes its share of the answers late.
+/// Callers choose evenly among the actives, so a weak host among strong ones would answer its share
+/// late.
 #[test]
-fn the_strong_of_each_domain_are_active() {
+fn strong_members_of_each_domain_are_active() {
     assert_eq!(names(&actives(&fleet())), ["h-0", "h-1", "h-2", "h-3", "h-4", "h-5"]);
 }
 
-/// The strong hosts of a domain lose power: others of the domain take their place, the same ones
-/// for whoever looks.
+/// When the strong hosts of a domain fail, others of the domain become active, and every entry
+/// computes the same ones whatever the order of the members.
 #[test]
-fn leaves_take_the_place_of_actives_that_are_gone() {
+fn leaves_replace_failed_actives() {
     let alive: Vec<Member> =
         fleet().into_iter().filter(|m| m.power < 0.5 || m.domain.as_str() != "d-1").collect();
-    let mut turned = alive.clone();
-    turned.reverse();
-    let (now, then) = (actives(&alive), actives(&turned));
-    assert_eq!(names(&now), names(&then));
-    let near = now.iter().filter(|member| member.domain.as_str() == "d-1").count();
-    assert_eq!((near, now.len()), (MIN_ACTIVES_PER_DOMAIN, 6));
+    let mut reversed = alive.clone();
+    reversed.reverse();
+    let (first, second) = (actives(&alive), actives(&reversed));
+    assert_eq!(names(&first), names(&second));
+    let in_domain = first.iter().filter(|member| member.domain.as_str() == "d-1").count();
+    assert_eq!((in_domain, first.len()), (MIN_ACTIVES_PER_DOMAIN, 6));
 }
 
-/// Links must not grow with the square of the fleet: a leaf has two, an active those to actives and
-/// its leaves.
+/// Links must not grow with the square of the fleet: a leaf has two, and an active has links to the
+/// other actives and to its leaves.
 #[test]
 fn leaves_link_to_two_actives_of_their_domain() {
     let fleet = fleet();
@@ -70,9 +71,9 @@
     assert_eq!(links(&fleet[0], &actives).len(), 5);
 }
 
-/// A domain whose actives are unknown yet: its members link to those of others.
+/// The members of a domain whose actives are not known yet link to actives of other domains.
 #[test]
-fn a_domain_without_actives_links_elsewhere() {
+fn domain_without_actives_links_to_other_domains() {
     let lone = member(99, 7, 0.1);
     let fleet = fleet();
     assert_eq!(links(&lone, &actives(&fleet)).len(), ACTIVES_PER_LEAF);
--- a/crates/policy/tests/version.rs
+++ b/crates/policy/tests/version.rs
@@ -1,4 +1,4 @@
-//! Versions never go back, and reach everybody in time.
+//! Versions never go back, and reach every process in time.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,10 +22,10 @@
     Duration::from_secs(count)
 }
 
-/// A workspace that operators removed is served again. The platform comes back after hours and
-/// serves what it held before; the text in force must stay.
+/// A platform that is reachable again after hours may serve an old text. The text in force must
+/// stay, or a workspace that operators removed is served again.
 #[test]
-fn a_platform_stale_for_hours_reverts_nothing() {
+fn stale_platform_reverts_nothing() {
     let mut tracker = Tracker::default();
     assert_eq!(tracker.offer(version(7), Ok(())), Verdict::Adopt);
     for _ in 0..1_000 {
@@ -35,10 +35,10 @@
     assert_eq!(tracker.offer(version(8), Ok(())), Verdict::Adopt);
 }
 
-/// An operator's typing error empties the fleet. The text is refused whole and told, the one in
-/// force stays, and it is not fetched again and again from peers.
+/// A text with an error must be refused as a whole and reported, the one in force must stay, and
+/// peers must not be asked for the refused text again and again.
 #[test]
-fn an_invalid_text_is_refused_and_told() {
+fn invalid_text_is_refused_and_reported() {
     let mut tracker = Tracker::default();
     tracker.offer(version(1), Ok(()));
     assert_eq!(tracker.offer(version(2), Err("line 3".into())), Verdict::Refused);
@@ -46,29 +46,29 @@
     assert_eq!(tracker.refusal().map(|(v, why)| (*v, why.as_str())), Some((version(2), "line 3")));
     assert!(!tracker.wants(version(2).stamp()));
     tracker.offer(version(3), Ok(()));
-    assert_eq!(tracker.refusal(), None, "a newer text in force makes the refusal history");
+    assert_eq!(tracker.refusal(), None, "a newer text in force hides the refusal");
 }
 
-/// Half of the fleet serves one text and half the other. Two operators published at once under one
-/// revision; all must end with the same one, and be able to say so.
+/// Two operators may publish different texts under one revision. All processes must choose the same
+/// text and report the conflict.
 #[test]
-fn two_operators_at_once_end_alike_and_are_told() {
+fn concurrent_texts_resolve_alike_and_are_reported() {
     let (a, b) = (Version::of(4, "one"), Version::of(4, "two"));
-    let ends = [[a, b], [b, a]].map(|order| {
+    let results = [[a, b], [b, a]].map(|order| {
         let mut tracker = Tracker::default();
         for offered in order {
             tracker.offer(offered, Ok(()));
         }
         (tracker.in_force(), tracker.conflict())
     });
-    assert_eq!(ends[0].0, ends[1].0);
-    assert_eq!(ends[0].1, Some((a.min(b), a.max(b))));
-    assert_eq!(ends[1].1, ends[0].1);
+    assert_eq!(results[0].0, results[1].0);
+    assert_eq!(results[0].1, Some((a.min(b), a.max(b))));
+    assert_eq!(results[1].1, results[0].1);
 }
 
-/// The same with a fleet: each text enters on another side of a cut that then heals.
+/// The same in a fleet: the two texts enter on different sides of a partition, which then heals.
 #[test]
-fn a_partition_that_heals_ends_with_one_version() {
+fn healed_partition_ends_with_one_version() {
     let mut fleet = Fleet::open(16, 1);
     fleet.run(seconds(3));
     fleet.nodes[8..].iter_mut().for_each(|node| node.group = 1);
@@ -82,10 +82,9 @@
     assert!(fleet.until(seconds(60), |fleet| fleet.all_have(a.max(b))).is_some());
 }
 
-/// Half of the fleet follows a new text and half does not for a minute. Only one watcher reads it;
-/// all 330 must have it within 11 s.
+/// When a single watcher reads a new text, all 330 members must have it in force within 11 s.
 #[test]
-fn a_text_read_by_one_watcher_is_in_force_everywhere_within_eleven_seconds() {
+fn text_read_by_one_watcher_is_in_force_everywhere_within_eleven_seconds() {
     let mut fleet = Fleet::open(330, 2);
     fleet.run(seconds(3));
     fleet.offer(17, version(9));
@@ -93,10 +92,11 @@
     assert!(took.is_some(), "not in force everywhere after 11 s");
 }
 
-/// A new entry serves what the fleet gave up hours ago. The platform is stale; peers know better,
-/// and must be asked first, and what they announce must be in force here before it serves.
+/// With a stale platform, a new process must ask its peers before it serves, and the version that
+/// they announce must be in force first. Otherwise it serves a text that the fleet replaced hours
+/// ago.
 #[test]
-fn a_new_process_asks_peers_before_it_trusts_a_stale_platform() {
+fn new_process_asks_peers_before_it_trusts_a_stale_platform() {
     let mut readiness = Readiness::open(Time::ZERO);
     readiness.set_platform(Contact::Answered);
     let (old, new) = (version(5).stamp(), version(7).stamp());
@@ -107,10 +107,10 @@
     assert_eq!(readiness.standing(Time::ZERO, new), Standing::Ready);
 }
 
-/// Requests are refused for a moment by every entry whenever a text is published or a host listed.
-/// A process that serves must go on while it learns of more.
+/// A process that serves must stay ready while it learns of newer versions. Otherwise every entry
+/// refuses requests for a moment whenever a text is published or a host is listed.
 #[test]
-fn a_process_that_serves_goes_on_while_news_comes() {
+fn ready_process_stays_ready_while_versions_arrive() {
     let mut readiness = Readiness::open(Time::ZERO);
     readiness.set_platform(Contact::Answered);
     readiness.set_peers(Contact::Silent);
@@ -120,10 +120,10 @@
     assert_eq!(readiness.standing(Time::ZERO, version(5).stamp()), Standing::Ready);
 }
 
-/// With the platform down for hours, a replaced host must be able to serve: peers suffice. With
-/// neither it would serve nothing it can vouch for.
+/// While the platform is down, peers are enough for a replaced host to serve. With neither, it has
+/// no version known to be current and must not serve.
 #[test]
-fn peers_suffice_and_neither_does_not() {
+fn peers_alone_suffice_for_readiness() {
     let late = Time::ZERO + seconds(10);
     let text = version(5).stamp();
     let mut readiness = Readiness::open(Time::ZERO);
@@ -134,10 +134,10 @@
     assert_eq!(readiness.standing(late, text), Standing::Ready);
 }
 
-/// The platform refuses calls as the fleet grows. Only two processes of a domain watch, whatever
-/// its size, and when they go others follow.
+/// The platform limits calls as the fleet grows, so only two processes of a domain watch, whatever
+/// its size. When they end, others replace them.
 #[test]
-fn watchers_are_few_and_replaced() {
+fn watchers_are_bounded_and_replaced() {
     for size in [8, 330] {
         let in_domain: Vec<id::Host> =
             (0..size).filter(|n| domain(*n) == domain(0)).map(host).collect();
@@ -152,7 +152,7 @@
     }
 }
 
-/// Polls of all non-watchers together stay at one rate, whatever their number, and drift apart.
+/// The polls of all non-watchers together keep one rate, whatever their number, and drift apart.
 #[test]
 fn polls_grow_more_slowly_than_the_fleet() {
     let mut random = StdRng::seed_from_u64(1);
@@ -166,20 +166,25 @@
     assert!(drawn.len() > 40, "processes started together poll together");
 }
 
-/// A fetch never ends since the neighbour died in the midst of it; another must be asked.
+/// A neighbour may die during a fetch. Another one must be asked after the timeout, or the fetch
+/// never ends.
 #[test]
-fn a_fetch_moves_on_from_a_silent_neighbour() {
+fn fetch_switches_from_a_silent_neighbour() {
     let mut fetch = Fetch::default();
     let stamp = version(3).stamp();
     assert!(fetch.start(Time::ZERO, &host(1), stamp));
     assert!(!fetch.start(Time::ZERO + seconds(1), &host(2), stamp), "one at a time");
-    assert!(fetch.start(Time::ZERO + seconds(2), &host(2), stamp), "the next after patience");
+    assert!(
+        fetch.start(Time::ZERO + seconds(2), &host(2), stamp),
+        "another neighbour after the timeout"
+    );
     assert!(!fetch.accept(Time::ZERO + seconds(2), &host(1), stamp), "late answers are dropped");
     assert!(fetch.accept(Time::ZERO + seconds(2), &host(2), stamp));
 }
 
 proptest! {
-    /// Whatever order texts arrive in, the one in force never decreases and ends as the maximum.
+    /// Whatever the order in which texts arrive, the version in force never decreases and ends as
+    /// the maximum.
     #[test]
     fn versions_never_go_back(offers in prop::collection::vec((0..6u64, 0..3u8, any::<bool>()), 1..60)) {
         let mut tracker = Tracker::default();
@@ -197,7 +202,7 @@
         }
     }
 
-    /// The short form orders as the whole does.
+    /// Stamps have the same order as versions.
     #[test]
     fn stamps_order_as_versions(a in 0..4u64, b in 0..4u64, x: u16, y: u16) {
         let (a, b) = (Version::of(a, &x.to_string()), Version::of(b, &y.to_string()));
