--- a/crates/daemon/src/process/member.rs
+++ b/crates/daemon/src/process/member.rs
@@ -7,12 +7,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::member::{
-    Action, Entry, Identity, Membership, Message, Published, Record,
-};
+use fireflyhoist_policy::member::{Action, Entry, HostList, Identity, Membership, Message, Record};
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::version::{
-    Asked, Book, Readiness, Stamp, Standing, Verdict, Version, is_watcher, poll_interval,
+    Contact, Readiness, Stamp, Standing, Tracker, Verdict, Version, is_watcher, poll_interval,
 };
 use fireflyhoist_text::transfer::{Next, Transfer};
 use fireflyhoist_wire::peer::Frame;
@@ -44,7 +42,7 @@
 #[derive(Debug)]
 struct Shared {
     membership: Membership,
-    book: Book,
+    book: Tracker,
     readiness: Readiness,
     transfer: Transfer,
     listed: bool,
@@ -72,7 +70,7 @@
         };
         let shared = Shared {
             membership: Membership::open(now, identity),
-            book: Book::default(),
+            book: Tracker::default(),
             readiness: Readiness::open(now),
             transfer: Transfer::default(),
             listed: false,
@@ -85,7 +83,7 @@
     pub(crate) fn poll(&self, now: Time) -> Vec<Step> {
         let mut state = self.state.lock();
         let actions = state.membership.poll(now, &mut rand::rng());
-        if actions.contains(&Action::Reset) {
+        if actions.contains(&Action::CloseAllLinks) {
             state.readiness = Readiness::open(now);
         }
         state.steps(actions)
@@ -120,7 +118,7 @@
     pub(crate) fn publish(&self, now: Time, hosts: &Hosts) {
         let mut state = self.state.lock();
         state.listed = true;
-        state.membership.publish(now, &published(hosts));
+        state.membership.apply_list(now, &published(hosts));
     }
 
     /// Whether a list as old as this one is behind what is known.
@@ -129,8 +127,8 @@
     }
 
     /// Takes in what came of asking the platform for the text.
-    pub(crate) fn platform(&self, asked: Asked) {
-        self.state.lock().readiness.platform(asked);
+    pub(crate) fn platform(&self, asked: Contact) {
+        self.state.lock().readiness.set_platform(asked);
     }
 
     /// Decides about a text that was found valid, or not.
@@ -194,7 +192,7 @@
 
     /// Whether no other member was heard yet.
     pub(crate) fn is_alone(&self) -> bool {
-        !self.state.lock().membership.has_heard()
+        !self.state.lock().membership.has_received()
     }
 
     /// Whether this process is one that watches the platform.
@@ -214,11 +212,11 @@
     fn standing(&mut self, now: Time) -> Standing {
         // Nobody to ask, or nobody who can be reached, is known at once; silence takes its time.
         let nobody = self.listed && !self.membership.knows_others();
-        let asked = match nobody || self.membership.is_cut_off() {
-            true => Asked::Silent,
-            false => Asked::Pending,
+        let asked = match nobody || self.membership.is_isolated() {
+            true => Contact::Silent,
+            false => Contact::Pending,
         };
-        self.readiness.peers(asked);
+        self.readiness.set_peers(asked);
         self.readiness.standing(now, self.book.stamp())
     }
 
@@ -227,10 +225,10 @@
         if let Message::Heartbeat(beat) = &message {
             let stamp = beat.stamp;
             if stamp != Stamp::default() {
-                self.readiness.peers(Asked::Answered);
+                self.readiness.set_peers(Contact::Answered);
             }
             if self.book.wants(stamp) {
-                self.readiness.announced(stamp);
+                self.readiness.note_announced(stamp);
                 let ask = self.transfer.announced(now, from, stamp);
                 steps.extend(self.reply(from, ask.map(Frame::Text)));
             }
@@ -263,14 +261,14 @@
             Action::Send { to, address, message } => {
                 Step::Send { to, address, frame: Frame::Member(message) }
             }
-            Action::Replace(host) => Step::Replace(host),
-            Action::Reset => Step::Reset,
+            Action::CloseLink(host) => Step::Replace(host),
+            Action::CloseAllLinks => Step::Reset,
         };
         actions.into_iter().map(step).collect()
     }
 }
 
-fn published(hosts: &Hosts) -> Published {
+fn published(hosts: &Hosts) -> HostList {
     let entry = |host: &Host| {
         let listen = host.entry?;
         Some(Entry {
@@ -280,7 +278,7 @@
             peer: listen.peer,
         })
     };
-    Published {
+    HostList {
         sequence: hosts.sequence,
         hosts: hosts.hosts.iter().map(|h| (h.name.clone(), h.state == State::Leaving)).collect(),
         entries: hosts.hosts.iter().filter_map(entry).collect(),
--- a/crates/gateway/src/process/fleet/beat.rs
+++ b/crates/gateway/src/process/fleet/beat.rs
@@ -4,7 +4,7 @@
 
 use fireflyhoist_policy::heartbeat::{self, Schedule};
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::witness::Observer;
+use fireflyhoist_policy::observation::Observer;
 use ntex::time::sleep;
 
 use crate::connection::frame::{Beat, Ending, Frame, Held};
@@ -90,14 +90,14 @@
                 () = self.process.sent() => true,
             };
             if news {
-                sleep(heartbeat::PROMPT).await;
+                sleep(heartbeat::COALESCE_DELAY).await;
                 self.beat_to_actives();
             }
-            let Some(beat) = schedule.take(self.now()) else { continue };
-            if self.is_active() || beat == heartbeat::Beat::All {
+            let Some(beat) = schedule.take_due(self.now()) else { continue };
+            if self.is_active() || beat == heartbeat::Recipients::All {
                 self.beat_to_actives();
             }
-            if beat == heartbeat::Beat::All {
+            if beat == heartbeat::Recipients::All {
                 self.beat_to_leaves();
             }
             self.process.report();
--- a/crates/gateway/src/process/lane.rs
+++ b/crates/gateway/src/process/lane.rs
@@ -11,10 +11,10 @@
     Gate, Holding, Outcome, Placement, Reason, Refusal, Report, Request, Settings, Verdict,
 };
 use fireflyhoist_policy::id;
+use fireflyhoist_policy::observation::{self, Observer};
 use fireflyhoist_policy::retry;
 use fireflyhoist_policy::stagger::Order;
 use fireflyhoist_policy::unit::Tokens;
-use fireflyhoist_policy::witness::{self, Observer};
 use parking_lot::Mutex;
 use smol_str::{SmolStr, format_smolstr};
 use tokio::sync::oneshot;
@@ -62,12 +62,12 @@
     }
 
     /// Takes in how a request of another entry ended at a target; see [`Gate::apply_outcome`].
-    pub fn hear(&self, target: &id::Target, from: Observer, outcome: witness::Outcome) {
+    pub fn hear(&self, target: &id::Target, from: Observer, outcome: observation::Outcome) {
         self.state.lock().gate.apply_outcome(self.clock.now(), target, from, outcome);
     }
 
     /// How requests ended, as far as other entries should hear of it.
-    pub fn take_endings(&self) -> Vec<(id::Target, witness::Outcome)> {
+    pub fn take_endings(&self) -> Vec<(id::Target, observation::Outcome)> {
         self.state.lock().gate.take_outcomes()
     }
 
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -19,6 +19,7 @@
 use crate::curve::Curve;
 use crate::id;
 use crate::length::{Predictor, Progress};
+use crate::observation::{self, Observer};
 use crate::outlier::{Detector, Ejection, Sample};
 use crate::placement::Candidate;
 use crate::queue::{CAPACITY, Item, Queue};
@@ -31,7 +32,6 @@
 use crate::time::Time;
 use crate::unit::Tokens;
 use crate::usage::Usage;
-use crate::witness::{self, Observer};
 
 pub use migration::Holding;
 pub use settings::Settings;
@@ -369,13 +369,13 @@
         now: Time,
         target: &id::Target,
         from: Observer,
-        outcome: witness::Outcome,
+        outcome: observation::Outcome,
     ) {
         self.detector.apply(now, target, from, outcome);
     }
 
     /// Takes the outcomes of this entry's requests that are to be announced to the other entries.
-    pub fn take_outcomes(&mut self) -> Vec<(id::Target, witness::Outcome)> {
+    pub fn take_outcomes(&mut self) -> Vec<(id::Target, observation::Outcome)> {
         self.detector.take_updates()
     }
 
--- a/crates/policy/src/member/table.rs
+++ b/crates/policy/src/member/table.rs
@@ -1,4 +1,4 @@
-//! All records of one process, with the hash by which two tables are compared.
+//! The records that one process holds, with a hash by which two tables are compared.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 pub(crate) struct Table {
     rows: BTreeMap<id::Host, Row>,
     hash: u64,
-    moved: bool,
+    live_changed: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -44,60 +44,62 @@
         self.records().filter(|record| record.status == Status::Dead)
     }
 
-    /// Whether nobody but this process was heard of yet.
-    pub(crate) fn is_alone(&self) -> bool {
+    /// Returns whether no record of another member has arrived yet; unseen published hosts do not
+    /// count.
+    pub(crate) fn knows_only_self(&self) -> bool {
         self.records().filter(|record| record.incarnation > 0).count() <= 1
     }
 
-    /// A hash of who is live in which incarnation; 0 for a table that nobody is in.
+    /// Returns a hash over the hosts and incarnations that are not dead; 0 for an empty table.
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Whether somebody came to life or died since this was last asked.
-    pub(crate) fn take_moved(&mut self) -> bool {
-        std::mem::take(&mut self.moved)
+    /// Returns whether the set of live members has changed since the last call.
+    pub(crate) fn take_live_changed(&mut self) -> bool {
+        std::mem::take(&mut self.live_changed)
     }
 
-    /// Takes in a record if it is news.
+    /// Stores a record unless the known one supersedes or equals it; returns whether it was stored.
     pub(crate) fn merge(&mut self, now: Time, record: &Record) -> bool {
         let before = self.get(&record.host);
         if before.is_some_and(|before| !record.supersedes(before)) {
             return false;
         }
         let dead = |record: &Record| record.status == Status::Dead;
-        let moved = before.is_none_or(|before| dead(before) != dead(record));
-        let change = before.map_or(0, share) ^ share(record);
-        self.moved |= moved;
+        let live_changed = before.is_none_or(|before| dead(before) != dead(record));
+        let change = before.map_or(0, record_hash) ^ record_hash(record);
+        self.live_changed |= live_changed;
         self.hash ^= change;
         self.rows.insert(record.host.clone(), Row { record: record.clone(), since: now });
         true
     }
 
-    /// Gives every record the addresses that it should have; nothing else of it may differ.
-    pub(crate) fn relocate(&mut self, located: impl Fn(&Record) -> Record) {
-        self.rows.values_mut().for_each(|row| row.record = located(&row.record));
+    /// Replaces every record by the result of `with_addresses`, which may change nothing but the
+    /// addresses.
+    pub(crate) fn update_addresses(&mut self, with_addresses: impl Fn(&Record) -> Record) {
+        self.rows.values_mut().for_each(|row| row.record = with_addresses(&row.record));
     }
 
-    /// Whether what is held about a host holds against `record`.
+    /// Returns whether the stored record of the host supersedes `record`.
     pub(crate) fn supersedes(&self, record: &Record) -> bool {
         self.get(&record.host).is_some_and(|held| held.supersedes(record))
     }
 
-    /// Suspects whose time to refute is over.
-    pub(crate) fn overdue(&self, now: Time, after: Duration) -> Vec<id::Host> {
-        let overdue =
+    /// Returns the suspects that have not refuted the suspicion within `after`.
+    pub(crate) fn expired_suspects(&self, now: Time, after: Duration) -> Vec<id::Host> {
+        let expired =
             |row: &&Row| row.record.status == Status::Suspect && now.since(row.since) >= after;
-        self.rows.values().filter(overdue).map(|row| row.record.host.clone()).collect()
+        self.rows.values().filter(expired).map(|row| row.record.host.clone()).collect()
     }
 
-    /// Suspicions count from now on only.
-    pub(crate) fn forgive(&mut self, now: Time) {
+    /// Restarts the timeout of every suspicion.
+    pub(crate) fn restart_timers(&mut self, now: Time) {
         self.rows.values_mut().for_each(|row| row.since = now);
     }
 
-    /// Forgets the dead that nobody lists any more.
-    pub(crate) fn forget(
+    /// Evicts members that have been dead for `after` and are not listed.
+    pub(crate) fn evict_dead(
         &mut self,
         now: Time,
         after: Duration,
@@ -108,21 +110,23 @@
         });
     }
 
-    /// The records after `host` in the order of hosts, at most `most`, and whether more follow.
-    pub(crate) fn page(&self, after: Option<&id::Host>, most: usize) -> (Vec<Record>, bool) {
-        let heard = |record: &&Record| record.incarnation > 0 && record.status != Status::Dead;
+    /// Returns at most `limit` records after `after`, ordered by host, and whether more follow.
+    ///
+    /// Unseen and dead members are left out.
+    pub(crate) fn page(&self, after: Option<&id::Host>, limit: usize) -> (Vec<Record>, bool) {
+        let known = |record: &&Record| record.incarnation > 0 && record.status != Status::Dead;
         let rest = |record: &&Record| after.is_none_or(|after| record.host > *after);
         let mut records: Vec<Record> =
-            self.records().filter(heard).filter(rest).take(most + 1).cloned().collect();
-        let more = records.len() > most;
-        records.truncate(most);
+            self.records().filter(known).filter(rest).take(limit + 1).cloned().collect();
+        let more = records.len() > limit;
+        records.truncate(limit);
         (records, more)
     }
 }
 
-/// What a record adds to the hash: nothing for the dead and the unheard, about whom members may
-/// differ for long without harm.
-fn share(record: &Record) -> u64 {
+/// Returns the contribution of a record to the hash of the table: 0 for dead and for unseen
+/// members, about which two members may disagree for long without harm.
+fn record_hash(record: &Record) -> u64 {
     if record.incarnation == 0 || record.status == Status::Dead {
         return 0;
     }
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -22,8 +22,8 @@
 use derive_more::Display;
 
 use crate::id;
+use crate::observation::{Observations, Observer, Outcome};
 use crate::time::Time;
-use crate::witness::{Observer, Outcome, Witnesses};
 
 /// A target is slow if its latency is this many times the median of its peers.
 pub const SLOW_FACTOR: f64 = 3.0;
@@ -86,7 +86,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct State {
-    witnesses: Witnesses,
+    witnesses: Observations,
     /// Moving average in seconds.
     latency: f64,
     samples: u32,
@@ -100,7 +100,7 @@
 
 impl State {
     fn is_failing(&self, now: Time) -> bool {
-        self.failures >= CONSECUTIVE_FAILURES || self.witnesses.condemn(now)
+        self.failures >= CONSECUTIVE_FAILURES || self.witnesses.is_failing(now)
     }
 
     fn is_ejected(&self, now: Time) -> bool {
@@ -185,7 +185,7 @@
             return;
         }
         state.record(sample);
-        if sample == Sample::Failed && state.witnesses.see(now, Outcome::Failed) {
+        if sample == Sample::Failed && state.witnesses.record_own(now, Outcome::Failed) {
             self.updates.push((target.clone(), Outcome::Failed));
         }
         self.evaluate(now, target);
@@ -194,7 +194,7 @@
     /// Records that a target has begun to answer a request.
     pub fn record_answer(&mut self, now: Time, target: &id::Target) {
         let Some(state) = self.targets.get_mut(target) else { return };
-        if state.witnesses.see(now, Outcome::Answered) {
+        if state.witnesses.record_own(now, Outcome::Answered) {
             self.updates.push((target.clone(), Outcome::Answered));
         }
     }
@@ -205,7 +205,7 @@
         if state.is_ejected(now) {
             return;
         }
-        state.witnesses.hear(now, observer, outcome);
+        state.witnesses.record_peer(now, observer, outcome);
         self.evaluate(now, target);
     }
 
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use fireflyhoist_policy::id;
-use fireflyhoist_policy::member::{Action, Entry, Identity, Membership, Message, Published};
+use fireflyhoist_policy::member::{Action, Entry, HostList, Identity, Membership, Message};
 use fireflyhoist_policy::time::Time;
-use fireflyhoist_policy::version::{Book, Fetch, Stamp, Verdict, Version};
+use fireflyhoist_policy::version::{Fetch, Stamp, Tracker, Verdict, Version};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -26,7 +26,7 @@
     /// Its view of the fleet.
     pub membership: Membership,
     /// Its versions.
-    pub book: Book,
+    pub book: Tracker,
     /// It runs; a member that does not neither sends nor receives.
     pub running: bool,
     /// Which group it is in; groups do not reach each other.
@@ -85,7 +85,7 @@
     sequence: u64,
     numbers: impl Iterator<Item = usize>,
     leaving: &[usize],
-) -> Published {
+) -> HostList {
     let entries: Vec<(usize, Entry)> = numbers
         .map(|n| {
             let at = address(n);
@@ -94,7 +94,7 @@
         .collect();
     let hosts =
         entries.iter().map(|(n, entry)| (entry.host.clone(), leaving.contains(n))).collect();
-    Published { sequence, hosts, entries: entries.into_iter().map(|(_, entry)| entry).collect() }
+    HostList { sequence, hosts, entries: entries.into_iter().map(|(_, entry)| entry).collect() }
 }
 
 impl Fleet {
@@ -117,7 +117,7 @@
         let list = published(1, 0..size, &[]);
         for number in 0..size {
             let mut node = fleet.node(number, 1);
-            node.membership.publish(Time::ZERO, &list);
+            node.membership.apply_list(Time::ZERO, &list);
             fleet.nodes.push(node);
         }
         fleet
@@ -134,7 +134,7 @@
         };
         let mut membership = Membership::open(self.now, identity);
         membership.set_ready(self.now, true);
-        let (book, fetch) = (Book::default(), Fetch::default());
+        let (book, fetch) = (Tracker::default(), Fetch::default());
         Node { membership, book, running: true, group: 0, sent: 0, bytes: 0, fetch }
     }
 
@@ -144,10 +144,10 @@
     }
 
     /// Starts member `number` anew, as a replaced host would, knowing `list` only.
-    pub fn restart(&mut self, number: usize, list: &Published) {
+    pub fn restart(&mut self, number: usize, list: &HostList) {
         let incarnation = self.now.as_micros() + 2;
         let mut node = self.node(number, incarnation);
-        node.membership.publish(self.now, list);
+        node.membership.apply_list(self.now, list);
         (node.sent, node.bytes) = (self.nodes[number].sent, self.nodes[number].bytes);
         self.nodes[number] = node;
     }
@@ -228,7 +228,7 @@
                     Message::Heartbeat(beat) => beat.stamp,
                     _ => Stamp::default(),
                 };
-                if node.book.wants(announced) && node.fetch.announced(at, &sender, announced) {
+                if node.book.wants(announced) && node.fetch.start(at, &sender, announced) {
                     self.post(at, to, from, Parcel::WantText);
                 }
                 let actions = self.nodes[to].membership.receive(at, &sender, message);
