--- a/crates/gateway/tests/named_limits.rs
+++ b/crates/gateway/tests/target_limits.rs
@@ -16,37 +16,37 @@
 use tokio::time::{Instant, sleep};
 use yare::parameterized;
 
-/// The bound on what a target gets in [`SPAN`]: one and a half times its limit and five requests.
-const OVER: f64 = 1.5;
-const MORE: f64 = 5.0;
-const SPAN: Duration = Duration::from_secs(4);
+/// The bound on what a target gets in [`WINDOW`]: one and a half times its limit and five requests.
+const BURST_FACTOR: f64 = 1.5;
+const BURST_REQUESTS: f64 = 5.0;
+const WINDOW: Duration = Duration::from_secs(4);
 
 /// The part of its limit that a target must get where more is asked.
-const USED: f64 = 0.8;
+const MIN_USED_SHARE: f64 = 0.8;
 
 /// From when a limit is named until it is kept to, by entries that had it named to them.
-const TOLD: Duration = Duration::from_millis(500);
+const PROPAGATION: Duration = Duration::from_millis(500);
 
 /// Between two requests of the callers.
-const PAUSE: Duration = Duration::from_millis(12);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(12);
 
 /// A target whose limit a test sets.
 #[derive(Clone)]
-struct Limited {
+struct LimitedTarget {
     standin: Standin,
     limit: Arc<Mutex<Option<String>>>,
     arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl Limited {
+impl LimitedTarget {
     async fn open(name: &str, limit: Option<&str>) -> Self {
         let limit = Arc::new(Mutex::new(limit.map(str::to_owned)));
         let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let (named, noted) = (Arc::clone(&limit), Arc::clone(&arrivals));
+        let (advertised, recorded) = (Arc::clone(&limit), Arc::clone(&arrivals));
         let script = move |_: &Seen| {
-            noted.lock().push(Instant::now());
-            let named = named.lock().clone();
-            let header = named.map(|limit| format!("{TAKES_HEADER}: {limit}\r\n"));
+            recorded.lock().push(Instant::now());
+            let advertised = advertised.lock().clone();
+            let header = advertised.map(|limit| format!("{TAKES_HEADER}: {limit}\r\n"));
             vec![Step::Write(format!(
                 "HTTP/1.1 200 X\r\nfireflyhoist-request: r-1\r\n{}content-length: 2\r\n\r\nok",
                 header.unwrap_or_default()
@@ -59,59 +59,60 @@
         *self.limit.lock() = limit.map(str::to_owned);
     }
 
-    /// The most requests in [`SPAN`], and all, from some time on.
-    fn got(&self, from: Instant) -> (usize, usize) {
+    /// The most requests in [`WINDOW`], and all, from some time on.
+    fn arrival_counts(&self, from: Instant) -> (usize, usize) {
         let arrivals = self.arrivals.lock();
         let arrivals: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
         let within = |first: &Instant| {
-            arrivals.iter().filter(|at| **at >= *first && **at < *first + SPAN).count()
+            arrivals.iter().filter(|at| **at >= *first && **at < *first + WINDOW).count()
         };
         (arrivals.iter().map(within).max().unwrap_or_default(), arrivals.len())
     }
 
     /// Asserts that no span had more than is allowed, and that what it takes was mostly used.
-    fn assert_kept(&self, from: Instant, limit: f64) {
-        let (most, all) = self.got(from);
-        let allowed = OVER * limit * SPAN.as_secs_f64() + MORE;
-        assert!(most as f64 <= allowed, "{most} in four seconds, {allowed} allowed");
-        let used = all as f64 / (limit * from.elapsed().as_secs_f64());
-        assert!(used >= USED, "{all} requests, {used:.2} of the limit");
+    fn assert_within_limit(&self, from: Instant, limit: f64) {
+        let (most, total) = self.arrival_counts(from);
+        let allowed = BURST_FACTOR * limit * WINDOW.as_secs_f64() + BURST_REQUESTS;
+        assert!(most as f64 <= allowed, "{most} requests in four seconds, {allowed} allowed");
+        let used = total as f64 / (limit * from.elapsed().as_secs_f64());
+        assert!(used >= MIN_USED_SHARE, "{total} requests, {used:.2} of the limit");
     }
 }
 
-struct World {
+struct Fleet {
     entries: Vec<Gateway>,
-    targets: Vec<Limited>,
+    targets: Vec<LimitedTarget>,
     answers: Arc<Mutex<Vec<Answer>>>,
 }
 
-impl World {
+impl Fleet {
     async fn open(entries: usize, limits: &[Option<&str>]) -> Self {
         let registry = Registry::open().await;
         let web = Route { objective: Duration::from_millis(500), ..route("web", Kind::Safe) };
         registry.publish(text(1, vec![web]));
         let mut targets = Vec::new();
         for (nth, limit) in limits.iter().enumerate() {
-            let target = Limited::open(&format!("t-{nth}"), *limit).await;
+            let target = LimitedTarget::open(&format!("t-{nth}"), *limit).await;
             registry.put(target.standin.listed.clone());
             targets.push(target);
         }
-        let mut world = Self { entries: Vec::new(), targets, answers: Arc::default() };
+        let mut fleet = Self { entries: Vec::new(), targets, answers: Arc::default() };
         for nth in 0..entries {
-            let seeds: Vec<_> = world.entries.iter().map(Gateway::peers).collect();
+            let seeds: Vec<_> = fleet.entries.iter().map(Gateway::peers).collect();
             let entry = unready(registry.address(), &format!("entry-{nth}"), &seeds).await;
             until_ready(&entry).await;
-            world.entries.push(entry);
+            fleet.entries.push(entry);
         }
-        let known = Request::get("/v1/entries?domain=hala-a");
-        let all = async |answer: Answer| answer.body.matches("entry-").count() == entries;
-        eventually(async || all(known.send(world.entries[0].directory()).await).await).await;
-        world
+        let directory = Request::get("/v1/entries?domain=hala-a");
+        let lists_all = async |answer: Answer| answer.body.matches("entry-").count() == entries;
+        eventually(async || lists_all(directory.send(fleet.entries[0].directory()).await).await)
+            .await;
+        fleet
     }
 
     /// Asks for some time, at the entries in turn, without waiting for answers.
-    async fn ask(&self, span: Duration, entries: &[usize]) {
-        let end = Instant::now() + span;
+    async fn send_load(&self, duration: Duration, entries: &[usize]) {
+        let end = Instant::now() + duration;
         for nth in entries.iter().cycle() {
             if Instant::now() >= end {
                 return;
@@ -121,7 +122,7 @@
                 let answer = Request::new("POST", "/web/x").body("b").send(to).await;
                 answers.lock().push(answer);
             });
-            sleep(PAUSE).await;
+            sleep(REQUEST_INTERVAL).await;
         }
     }
 
@@ -134,42 +135,42 @@
 #[parameterized(
     one_entry = { 1, "5" },
     three_entries = { 3, "5" },
-    below_one_a_second = { 3, "0.6" },
+    below_one_per_second = { 3, "0.6" },
 )]
 #[test_macro(ntex::test)]
-async fn a_target_gets_what_it_takes_and_others_the_rest(entries: usize, limit: &'static str) {
-    let world = World::open(entries, &[Some(limit), None, None]).await;
+async fn an_advertised_limit_holds_across_entries(entries: usize, limit: &'static str) {
+    let fleet = Fleet::open(entries, &[Some(limit), None, None]).await;
     let all: Vec<usize> = (0..entries).collect();
-    world.ask(TOLD, &all).await;
+    fleet.send_load(PROPAGATION, &all).await;
     let from = Instant::now();
-    world.ask(Duration::from_secs(6), &all).await;
-    world.targets[0].assert_kept(from, limit.parse().expect("a number"));
-    assert_eq!(world.refused(), 0);
+    fleet.send_load(Duration::from_secs(6), &all).await;
+    fleet.targets[0].assert_within_limit(from, limit.parse().expect("a number"));
+    assert_eq!(fleet.refused(), 0);
 }
 
 /// Guards against an entry that has all the traffic being held to a small share, and against a limit
 /// passed while traffic moves from one entry to another.
 #[ntex::test]
 async fn a_limit_follows_the_traffic() {
-    let world = World::open(3, &[Some("5"), None]).await;
-    world.ask(TOLD, &[0, 1, 2]).await;
+    let fleet = Fleet::open(3, &[Some("5"), None]).await;
+    fleet.send_load(PROPAGATION, &[0, 1, 2]).await;
     let from = Instant::now();
     for entry in 0..3 {
-        world.ask(Duration::from_secs(2), &[entry]).await;
+        fleet.send_load(Duration::from_secs(2), &[entry]).await;
     }
-    world.targets[0].assert_kept(from, 5.0);
-    assert_eq!(world.refused(), 0);
+    fleet.targets[0].assert_within_limit(from, 5.0);
+    assert_eq!(fleet.refused(), 0);
 }
 
 /// Guards against requests waiting in vain where no target takes more.
 #[ntex::test]
-async fn where_no_target_takes_more_a_request_is_refused_at_once() {
-    let world = World::open(2, &[Some("5"), Some("5")]).await;
-    world.ask(TOLD, &[0, 1]).await;
+async fn requests_are_refused_at_once_when_all_targets_are_at_their_limit() {
+    let fleet = Fleet::open(2, &[Some("5"), Some("5")]).await;
+    fleet.send_load(PROPAGATION, &[0, 1]).await;
     let from = Instant::now();
-    world.ask(Duration::from_secs(5), &[0, 1]).await;
-    world.targets.iter().for_each(|target| target.assert_kept(from, 5.0));
-    let answers = world.answers.lock();
+    fleet.send_load(Duration::from_secs(5), &[0, 1]).await;
+    fleet.targets.iter().for_each(|target| target.assert_within_limit(from, 5.0));
+    let answers = fleet.answers.lock();
     let refused: Vec<&Answer> = answers.iter().filter(|answer| answer.status == 503).collect();
     assert!(!refused.is_empty());
     for answer in refused {
@@ -181,31 +182,31 @@
 
 /// Guards against a limit that is named no more being kept to, and against one that rises.
 #[ntex::test]
-async fn a_limit_that_rises_or_is_gone_is_followed() {
-    let world = World::open(2, &[Some("3"), None]).await;
-    world.ask(TOLD * 2, &[0, 1]).await;
-    world.targets[0].set(Some("15"));
-    world.ask(Duration::from_secs(1), &[0, 1]).await;
+async fn a_raised_or_withdrawn_limit_applies() {
+    let fleet = Fleet::open(2, &[Some("3"), None]).await;
+    fleet.send_load(PROPAGATION * 2, &[0, 1]).await;
+    fleet.targets[0].set(Some("15"));
+    fleet.send_load(Duration::from_secs(1), &[0, 1]).await;
     let from = Instant::now();
-    world.ask(Duration::from_secs(3), &[0, 1]).await;
-    world.targets[0].assert_kept(from, 15.0);
-    world.targets[0].set(None);
-    world.ask(Duration::from_secs(1), &[0, 1]).await;
+    fleet.send_load(Duration::from_secs(3), &[0, 1]).await;
+    fleet.targets[0].assert_within_limit(from, 15.0);
+    fleet.targets[0].set(None);
+    fleet.send_load(Duration::from_secs(1), &[0, 1]).await;
     let from = Instant::now();
-    world.ask(Duration::from_secs(2), &[0, 1]).await;
-    let (_, all) = world.targets[0].got(from);
-    let (_, other) = world.targets[1].got(from);
-    assert!(all * 2 > other, "{all} at the one that was limited, {other} at the other");
+    fleet.send_load(Duration::from_secs(2), &[0, 1]).await;
+    let (_, limited) = fleet.targets[0].arrival_counts(from);
+    let (_, other) = fleet.targets[1].arrival_counts(from);
+    assert!(limited * 2 > other, "{limited} at the formerly limited target, {other} at the other");
 }
 
 /// Guards against what can't be read being taken for a limit, or for the end of one.
 #[ntex::test]
-async fn a_limit_that_cannot_be_read_changes_nothing() {
-    let world = World::open(1, &[Some("3"), Some("-1")]).await;
-    world.ask(TOLD, &[0]).await;
-    world.targets[0].set(Some("many"));
+async fn an_invalid_limit_changes_nothing() {
+    let fleet = Fleet::open(1, &[Some("3"), Some("-1")]).await;
+    fleet.send_load(PROPAGATION, &[0]).await;
+    fleet.targets[0].set(Some("many"));
     let from = Instant::now();
-    world.ask(Duration::from_secs(4), &[0]).await;
-    world.targets[0].assert_kept(from, 3.0);
-    assert_eq!(world.refused(), 0);
+    fleet.send_load(Duration::from_secs(4), &[0]).await;
+    fleet.targets[0].assert_within_limit(from, 3.0);
+    assert_eq!(fleet.refused(), 0);
 }
