--- a/crates/gateway/tests/restored.rs
+++ b/crates/gateway/tests/registry_restore.rs
@@ -13,10 +13,10 @@
 use yare::parameterized;
 
 /// How long it is away.
-const AWAY: Duration = Duration::from_millis(400);
+const OUTAGE: Duration = Duration::from_millis(400);
 
 /// Within which all entries must know what it tells anew.
-const KNOWN: Duration = Duration::from_secs(1);
+const PROPAGATION: Duration = Duration::from_secs(1);
 
 async fn target(name: &str) -> Standin {
     Standin::open(name, "web", |_| answer(200, "ok")).await
@@ -32,9 +32,9 @@
         until_ready(&entry).await;
         fleet.push(entry);
     }
-    let known = Request::get("/v1/entries?domain=hala-a");
+    let directory = Request::get("/v1/entries?domain=hala-a");
     eventually(async || {
-        let answer = known.send(fleet[0].directory()).await;
+        let answer = directory.send(fleet[0].directory()).await;
         answer.body.matches("entry-").count() == entries
     })
     .await;
@@ -64,7 +64,7 @@
     write: impl FnOnce(),
 ) {
     registry.set_mood(Mood::Busy);
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(OUTAGE).await;
     registry.restore(copy);
     write();
     registry.set_mood(Mood::Well);
@@ -74,11 +74,11 @@
 #[parameterized(
     one_entry = { 1, 0 },
     three_entries = { 3, 0 },
-    revisions_given_out_again = { 1, 12 },
-    revisions_given_out_again_to_three = { 3, 12 },
+    revisions_reused = { 1, 12 },
+    revisions_reused_three_entries = { 3, 12 },
 )]
 #[test_macro(ntex::test)]
-async fn what_a_restored_registry_tells_is_known(entries: usize, rewritten: u64) {
+async fn changes_of_a_restored_registry_are_applied(entries: usize, rewritten: u64) {
     let registry = Registry::open().await;
     let (old, new) = (target("t-1").await, target("t-2").await);
     registry.put(old.listed.clone());
@@ -97,18 +97,18 @@
         }
     })
     .await;
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     let before = new.seen().len();
     for entry in fleet.iter().cycle().take(6 * entries) {
         assert_eq!(ask(entry).await, 200);
     }
-    assert!(new.seen().len() >= before + entries, "{} more", new.seen().len() - before);
+    assert!(new.seen().len() >= before + entries, "{} more requests", new.seen().len() - before);
 }
 
 /// Guards against a target that said that it drains, or that left, coming back by a restored list.
-#[parameterized(drains = { true }, left = { false })]
+#[parameterized(drains = { true }, removed = { false })]
 #[test_macro(ntex::test)]
-async fn what_left_in_the_lost_seconds_stays_gone(drains: bool) {
+async fn targets_removed_after_the_copy_stay_removed(drains: bool) {
     let registry = Registry::open().await;
     let (gone, kept) = (target("t-1").await, target("t-2").await);
     registry.put(gone.listed.clone());
@@ -121,10 +121,10 @@
         false => registry.remove(&gone.listed),
     }
     // The wait covers the time in which a leaving must be known.
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     let before = gone.seen().len();
     restore(&registry, copy, || {}).await;
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     for entry in fleet.iter().cycle().take(12) {
         assert_eq!(ask(entry).await, 200);
     }
@@ -134,7 +134,7 @@
 /// Guards against a target of the lost seconds being cut off before it has written again, and against
 /// one that does not being used for good.
 #[ntex::test]
-async fn what_a_copy_lacks_is_kept_for_a_moment() {
+async fn targets_missing_from_the_copy_get_a_grace_period() {
     let registry = Registry::open().await;
     let (back, lost, other) = (target("t-1").await, target("t-2").await, target("t-3").await);
     registry.put(other.listed.clone());
@@ -145,7 +145,7 @@
     until_used(&fleet, &back).await;
     until_used(&fleet, &lost).await;
     restore(&registry, copy, || {}).await;
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     until_used(&fleet, &back).await;
     registry.put(fireflyhoist_policy::lease::Target { renewal: 2, ..back.listed.clone() });
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -156,7 +156,7 @@
 
 /// Guards against an entry that starts believing what others know from before.
 #[ntex::test]
-async fn an_entry_that_starts_after_a_restore_knows_the_new_list() {
+async fn an_entry_started_after_a_restore_uses_the_new_list() {
     let registry = Registry::open().await;
     let (old, new) = (target("t-1").await, target("t-2").await);
     registry.put(old.listed.clone());
@@ -171,17 +171,17 @@
     let joined = unready(registry.address(), "entry-9", &seeds).await;
     until_ready(&joined).await;
     fleet.push(joined);
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     until_used(&fleet, &new).await;
 }
 
 /// Guards against a registry that says nothing of its era, or an earlier one, being believed never again.
-#[parameterized(says_nothing = { true }, era_falls = { false })]
+#[parameterized(reports_none = { true }, era_falls = { false })]
 #[test_macro(ntex::test)]
-async fn a_registry_that_goes_back_without_a_word_is_read_anew(quiet: bool) {
+async fn a_registry_that_goes_back_without_a_new_era_is_read_in_full(no_era: bool) {
     let registry = Registry::open().await;
     registry.set_era(7);
-    if quiet {
+    if no_era {
         registry.keep_quiet();
     }
     let (old, new) = (target("t-1").await, target("t-2").await);
@@ -193,19 +193,19 @@
     }
     until_used(&fleet, &old).await;
     // It has read past what is given out again; otherwise nothing shows.
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     restore(&registry, copy, || {
         registry.set_era(3);
         registry.put(new.listed.clone());
     })
     .await;
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     until_used(&fleet, &new).await;
 }
 
 /// Guards against a text in force going back to that of the copy.
 #[ntex::test]
-async fn a_text_does_not_go_back_with_its_registry() {
+async fn a_restore_does_not_revert_the_text() {
     let registry = Registry::open().await;
     let served = target("t-1").await;
     registry.put(served.listed.clone());
@@ -222,7 +222,7 @@
     }
     restore(&registry, copy, || {}).await;
     for _ in 0..10 {
-        tokio::time::sleep(KNOWN / 5).await;
+        tokio::time::sleep(PROPAGATION / 5).await;
         for entry in &fleet {
             assert!(more(entry).await);
         }
