--- a/crates/gateway/tests/poison.rs
+++ b/crates/gateway/tests/poison.rs
@@ -20,10 +20,10 @@
 const POISON: &str = "poison";
 
 /// Sends that may still follow once three targets have ended.
-const MORE: usize = 3;
+const MAX_LATE_SENDS: usize = 3;
 
 /// Between two callers that ask for the same.
-const PAUSE: Duration = Duration::from_millis(120);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
 
 fn serve(seen: &Seen) -> Vec<Step> {
     let pause = Step::Wait(Duration::from_millis(30));
@@ -33,27 +33,27 @@
     }
 }
 
-struct World {
+struct Fleet {
     registry: Arc<Registry>,
-    toll: Toll,
+    crashes: Toll,
     entries: Vec<Gateway>,
 }
 
-impl World {
+impl Fleet {
     /// Four targets behind so many entries.
     async fn open(entries: usize, kind: Kind) -> Self {
         let registry = Arc::new(Registry::open().await);
         let route = Route { attempts: 2, ..route("gen", kind) };
         registry.publish(text(1, vec![route]));
-        let toll = Toll::default();
+        let crashes = Toll::default();
         for name in ["a", "b", "c", "d"] {
-            mortal::spawn(&registry, &toll, name, serve);
+            mortal::spawn(&registry, &crashes, name, serve);
         }
-        let mut world = Self { registry, toll, entries: Vec::new() };
+        let mut fleet = Self { registry, crashes, entries: Vec::new() };
         for _ in 0..entries {
-            world.join().await;
+            fleet.join().await;
         }
-        world
+        fleet
     }
 
     /// Starts one more entry and waits until it knows the others.
@@ -63,10 +63,11 @@
         let entry = unready(self.registry.address(), &name, &seeds).await;
         until_ready(&entry).await;
         self.entries.push(entry);
-        let known = Request::get("/v1/entries?domain=hala-a");
+        let directory = Request::get("/v1/entries?domain=hala-a");
         let count = self.entries.len();
-        let all = async |answer: Answer| answer.body.matches("entry-").count() == count;
-        eventually(async || all(known.send(self.entries[0].directory()).await).await).await;
+        let lists_all = async |answer: Answer| answer.body.matches("entry-").count() == count;
+        eventually(async || lists_all(directory.send(self.entries[0].directory()).await).await)
+            .await;
     }
 
     async fn ask(&self, entry: usize, body: &str) -> Answer {
@@ -74,14 +75,14 @@
     }
 
     /// Asks for the poison until three targets have ended and all entries have had time to hear.
-    async fn condemn(&self) {
+    async fn crash_until_suspect(&self) {
         for entry in (0..self.entries.len()).cycle() {
-            if self.toll.ends() >= 3 {
+            if self.crashes.ends() >= 3 {
                 break;
             }
             self.ask(entry, POISON).await;
         }
-        tokio::time::sleep(PAUSE * 4).await;
+        tokio::time::sleep(REQUEST_INTERVAL * 4).await;
     }
 }
 
@@ -89,40 +90,40 @@
 #[parameterized(
     one_entry = { 1, RESUMABLE },
     two_entries = { 2, RESUMABLE },
-    two_entries_whole = { 2, Kind::Safe },
+    two_entries_safe = { 2, Kind::Safe },
     three_entries_unsafe = { 3, Kind::Unsafe },
 )]
 #[test_macro(ntex::test)]
-async fn a_request_that_ends_its_targets_is_sent_no_more(entries: usize, kind: Kind) {
-    let world = World::open(entries, kind).await;
-    world.condemn().await;
-    let ended = world.toll.ends();
+async fn a_request_that_crashes_its_targets_is_quarantined(entries: usize, kind: Kind) {
+    let fleet = Fleet::open(entries, kind).await;
+    fleet.crash_until_suspect().await;
+    let crashed = fleet.crashes.ends();
     for nth in 0..10 {
-        world.ask(nth % entries, POISON).await;
-        tokio::time::sleep(PAUSE).await;
+        fleet.ask(nth % entries, POISON).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    let more = world.toll.ends() - ended;
-    assert!(more <= MORE, "{more} more targets ended");
-    let refused = world.ask(0, POISON).await;
+    let more = fleet.crashes.ends() - crashed;
+    assert!(more <= MAX_LATE_SENDS, "{more} more targets crashed");
+    let refused = fleet.ask(0, POISON).await;
     assert_eq!(refused.status, 503, "{refused:?}");
     assert!(refused.body.contains("\"ran\":\"no\""), "{refused:?}");
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
-    let served = world.ask(entries - 1, "another").await;
+    let served = fleet.ask(entries - 1, "another").await;
     assert_eq!((served.status, served.body, served.whole), (200, events(1, 2), true));
 }
 
 /// Guards against an entry that has just joined sending what the others know to end targets.
 #[ntex::test]
-async fn an_entry_that_joins_is_told() {
-    let mut world = World::open(2, RESUMABLE).await;
-    world.condemn().await;
+async fn a_joining_entry_receives_the_suspects() {
+    let mut fleet = Fleet::open(2, RESUMABLE).await;
+    fleet.crash_until_suspect().await;
     for nth in 0..4 {
-        world.ask(nth % 2, POISON).await;
+        fleet.ask(nth % 2, POISON).await;
     }
-    let ended = world.toll.ends();
-    world.join().await;
+    let crashed = fleet.crashes.ends();
+    fleet.join().await;
     for _ in 0..6 {
-        assert_eq!(world.ask(2, POISON).await.status, 503);
+        assert_eq!(fleet.ask(2, POISON).await.status, 503);
     }
-    assert_eq!(world.toll.ends(), ended);
+    assert_eq!(fleet.crashes.ends(), crashed);
 }
