--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -17,7 +17,7 @@
 use support::{eventually, gateway, route, text};
 use yare::parameterized;
 
-const PAGE: Kind = Kind::Stream { resumable: false };
+const STREAM: Kind = Kind::Stream { resumable: false };
 const RESUMABLE: Kind = Kind::Stream { resumable: true };
 
 fn pause(ms: u64) -> Step {
@@ -41,34 +41,34 @@
 
 /// The entry collects a page and hands it over at its end: a supervisor watches nothing arrive.
 #[ntex::test]
-async fn events_go_on_as_they_come() {
-    let registry = registry(PAGE).await;
+async fn events_are_forwarded_as_they_arrive() {
+    let registry = registry(STREAM).await;
     let script = |_: &Seen| vec![stream_head(), event(1), pause(600), event(2), stream_end()];
     let engine = Standin::open("e-1", "gen", script).await;
     registry.put(engine.listed.clone());
     let gateway = gateway(&registry).await;
     let mut caller = Request::stream("/gen/x", 20).body("b").open(gateway.callers()).await;
     let began = tokio::time::Instant::now();
-    let mut got = String::new();
-    while !got.contains("id: 1\n") {
+    let mut received = String::new();
+    while !received.contains("id: 1\n") {
         let mut bytes = [0; 1024];
         let read = tokio::io::AsyncReadExt::read(&mut caller, &mut bytes).await.expect("bytes");
-        assert!(read > 0, "{got}");
-        got.push_str(&String::from_utf8_lossy(&bytes[..read]));
+        assert!(read > 0, "{received}");
+        received.push_str(&String::from_utf8_lossy(&bytes[..read]));
     }
     assert!(began.elapsed() < Duration::from_millis(500), "{:?}", began.elapsed());
-    assert!(!got.contains("id: 2"), "{got}");
+    assert!(!received.contains("id: 2"), "{received}");
 }
 
 /// An engine ends in the middle of a page, and the page looks finished: a line of passengers is
 /// missing and nobody knows. What is broken off never ends like a whole answer, half an event is
 /// never shown, and no second answer is written into the first.
 #[ntex::test]
-async fn a_page_that_breaks_off_does_not_look_whole() {
-    let registry = registry(PAGE).await;
-    let half = Step::Write("d\r\nid: 3\ndata: t\r\n".to_owned());
+async fn an_interrupted_stream_does_not_look_complete() {
+    let registry = registry(STREAM).await;
+    let partial_event = Step::Write("d\r\nid: 3\ndata: t\r\n".to_owned());
     let script = move |_: &Seen| {
-        vec![stream_head(), event(1), event(2), half.clone(), pause(50), Step::Reset]
+        vec![stream_head(), event(1), event(2), partial_event.clone(), pause(50), Step::Reset]
     };
     let engine = Standin::open("e-1", "gen", script).await;
     registry.put(engine.listed.clone());
@@ -82,7 +82,7 @@
 /// A village is mapped half and then never: the engine broke off, and the kind of request may be
 /// taken up by another. It goes on after the last event, within the answer that has begun.
 #[ntex::test]
-async fn a_resumable_answer_goes_on_at_another_engine() {
+async fn a_resumable_stream_resumes_at_another_engine() {
     let registry = registry(RESUMABLE).await;
     for name in ["e-1", "e-2"] {
         let script = |seen: &Seen| match seen.header("last-event-id") {
@@ -101,7 +101,7 @@
 
 /// Guards against a refusal that says not run after an attempt that broke off and may have run.
 #[ntex::test]
-async fn a_refusal_after_a_run_that_broke_off_does_not_say_that_none_ran() {
+async fn a_refusal_after_an_interrupted_run_does_not_say_that_none_ran() {
     let registry = registry(RESUMABLE).await;
     let count = Arc::new(AtomicUsize::new(0));
     for name in ["e-1", "e-2"] {
@@ -122,7 +122,7 @@
 /// of before stays open and silent, and its caller would wait until its time is up. The newer start
 /// tells that the run is gone, so the answer goes on at another engine at once.
 #[ntex::test]
-async fn an_answer_leaves_a_run_whose_engine_has_started_again() {
+async fn a_stream_resumes_elsewhere_after_its_engine_restarted() {
     let registry = registry(RESUMABLE).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2"] {
@@ -151,8 +151,8 @@
 /// An engine crashes in the middle of a long page. Another keeps a copy of it, made as it grew, and
 /// the page goes on from there: the caller sees each event once.
 #[ntex::test]
-async fn a_page_goes_on_from_its_copy() {
-    let registry = registry(PAGE).await;
+async fn a_stream_resumes_from_its_backup_copy() {
+    let registry = registry(STREAM).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2"] {
         let script =
@@ -171,7 +171,7 @@
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 9), true));
     let seen: Vec<Seen> = engines.iter().flat_map(Standin::seen).collect();
     let first = seen.iter().find(|seen| seen.header("fireflyhoist-copy").is_none()).expect("a run");
-    let backup = first.header("fireflyhoist-backup").expect("a copy is asked for");
+    let backup = first.header("fireflyhoist-backup").expect("a backup copy is requested");
     let second =
         seen.iter().find(|seen| seen.header("fireflyhoist-copy").is_some()).expect("a run");
     assert_eq!(second.header("fireflyhoist-copy"), Some(format!("{backup}/r-1").as_str()));
@@ -181,12 +181,12 @@
 /// engine that has the copy. Events that the first made meanwhile are not shown twice. A caller that
 /// had guessed a short answer loses it no more than others: guesses are often far off.
 #[parameterized(
-    as_guessed = { "500" },
-    longer_than_guessed = { "10" },
+    as_expected = { "500" },
+    longer_than_expected = { "10" },
 )]
 #[test_macro(ntex::test)]
-async fn a_page_moves_when_its_engine_leaves(guess: &str) {
-    let registry = registry(PAGE).await;
+async fn a_stream_migrates_when_its_engine_drains(expected_tokens: &str) {
+    let registry = registry(STREAM).await;
     let mut engines = Vec::new();
     let moves = Arc::new(AtomicUsize::new(0));
     for name in ["e-1", "e-2"] {
@@ -195,7 +195,11 @@
             if seen.line().starts_with("POST /v1/runs/r-1/move") {
                 let asked: Move = serde_json::from_str(&seen.body).expect("a move");
                 let nth = moves.fetch_add(1, Ordering::SeqCst);
-                assert_eq!(asked.last, nth == 1, "first a copy, then the rest");
+                assert_eq!(
+                    asked.last,
+                    nth == 1,
+                    "a copy of the running stream first, then of the rest"
+                );
                 let copied = Copied { copy: Some("c-7".into()) };
                 return answer(200, &serde_json::to_string(&copied).expect("JSON"));
             }
@@ -213,11 +217,11 @@
     }
     engines.iter().for_each(|engine| registry.put(engine.listed.clone()));
     let gateway = gateway(&registry).await;
-    // Too large for a copy ahead, so that it has to be moved.
+    // Too large for a backup copy while it grows, so that it has to be migrated.
     let request = Request::new("POST", "/gen/x")
         .header("fireflyhoist-prompt-tokens", "60000")
         .header("fireflyhoist-max-tokens", "500")
-        .header("fireflyhoist-expected-tokens", guess)
+        .header("fireflyhoist-expected-tokens", expected_tokens)
         .body("b");
     let callers = gateway.callers();
     let answered = ntex::rt::spawn(async move { request.send(callers).await });
@@ -234,9 +238,9 @@
 /// A full engine says that it has not run a page. The route allows one attempt, so the caller is
 /// told at once that nothing ran, and when to come back.
 #[ntex::test]
-async fn a_declined_page_is_refused_truly() {
+async fn a_declined_stream_is_refused_as_not_run() {
     let registry = Registry::open().await;
-    let mut single = route("gen", PAGE);
+    let mut single = route("gen", STREAM);
     single.attempts = 1;
     registry.publish(text(1, vec![single]));
     let engine = Standin::open("e-1", "gen", |_| declined()).await;
@@ -250,9 +254,9 @@
 
 /// A page that has begun passes its route's timeout: it is broken off there, visibly.
 #[ntex::test]
-async fn a_page_is_broken_off_at_its_routes_timeout() {
+async fn a_stream_is_cut_at_the_route_timeout() {
     let registry = Registry::open().await;
-    let mut short = route("gen", PAGE);
+    let mut short = route("gen", STREAM);
     short.timeout = Duration::from_millis(400);
     registry.publish(text(1, vec![short]));
     let engine = Standin::open("e-1", "gen", |_| run(1, 500, stream_end())).await;
@@ -267,7 +271,7 @@
 /// keeps them failing. A run that begins anew counts as an attempt of its route, and draws on the
 /// budget that bounds repeats.
 #[ntex::test]
-async fn an_answer_is_begun_anew_no_more_often_than_its_route_allows() {
+async fn resumed_runs_count_as_attempts_of_the_route() {
     let registry = registry(RESUMABLE).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2", "e-3", "e-4"] {
@@ -289,24 +293,28 @@
 /// generating for nobody: nothing is written to the caller that could fail. The engine's connection
 /// closes as soon as the caller's does.
 #[ntex::test]
-async fn an_engine_is_told_when_the_caller_leaves_between_two_events() {
-    let registry = registry(PAGE).await;
+async fn a_caller_disconnecting_between_events_closes_the_connection_to_the_engine() {
+    let registry = registry(STREAM).await;
     let script = |_: &Seen| vec![stream_head(), event(1), Step::Hang];
     let engine = Standin::open("e-1", "gen", script).await;
     registry.put(engine.listed.clone());
     let gateway = gateway(&registry).await;
     let mut caller = Request::stream("/gen/x", 20).body("b").open(gateway.callers()).await;
-    let mut got = String::new();
-    while !got.contains("id: 1\n") {
+    let mut received = String::new();
+    while !received.contains("id: 1\n") {
         let mut bytes = [0; 1024];
         let read = tokio::io::AsyncReadExt::read(&mut caller, &mut bytes).await.expect("bytes");
-        assert!(read > 0, "{got}");
-        got.push_str(&String::from_utf8_lossy(&bytes[..read]));
+        assert!(read > 0, "{received}");
+        received.push_str(&String::from_utf8_lossy(&bytes[..read]));
     }
-    let left = tokio::time::Instant::now();
+    let disconnected_at = tokio::time::Instant::now();
     drop(caller);
     eventually(async || !engine.closed().is_empty()).await;
-    assert!(left.elapsed() < Duration::from_millis(500), "{:?}", left.elapsed());
+    assert!(
+        disconnected_at.elapsed() < Duration::from_millis(500),
+        "{:?}",
+        disconnected_at.elapsed()
+    );
 }
 
 /// Who tells that an engine is taken back.
@@ -319,18 +327,18 @@
 
 /// Plays a page at an engine that is taken back, of which one copy is made; `rest` answers the call
 /// that stops the run. Returns the caller's answer and all that both engines saw.
-async fn taken_back(
+async fn migrate_from_draining(
     notice: Notice,
-    rest: impl Fn() -> Vec<Step> + Clone + Send + Sync + 'static,
+    final_move: impl Fn() -> Vec<Step> + Clone + Send + Sync + 'static,
     end: Step,
 ) -> (support::caller::Answer, Vec<Seen>) {
     let leaving = Arc::new(parking_lot::Mutex::new(None::<String>));
     // A registry that hangs is noticed within two seconds.
-    let whole = if notice == Notice::Report { 160 } else { 40 };
-    let registry = registry(PAGE).await;
+    let event_count = if notice == Notice::Report { 160 } else { 40 };
+    let registry = registry(STREAM).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2"] {
-        let (rest, end, leaving) = (rest.clone(), end.clone(), Arc::clone(&leaving));
+        let (final_move, end, leaving) = (final_move.clone(), end.clone(), Arc::clone(&leaving));
         let script = move |seen: &Seen| {
             if seen.line().starts_with("GET /v1/report") {
                 let leaving = leaving.lock().as_deref() == Some(name);
@@ -340,7 +348,7 @@
                 let asked: Move = serde_json::from_str(&seen.body).expect("a move");
                 let copied = Copied { copy: Some("c-1".into()) };
                 return match asked.last {
-                    true => rest(),
+                    true => final_move(),
                     false => answer(200, &serde_json::to_string(&copied).expect("JSON")),
                 };
             }
@@ -351,9 +359,9 @@
                 // No copy was made as it grew.
                 (Some(copy), _) if copy.ends_with("/r-1") => declined(),
                 (Some(_), Some(last)) => {
-                    run(last.parse::<u64>().expect("a number") + 1, whole, stream_end())
+                    run(last.parse::<u64>().expect("a number") + 1, event_count, stream_end())
                 }
-                _ => run(1, whole - 10, end.clone()),
+                _ => run(1, event_count - 10, end.clone()),
             }
         };
         engines.push(Standin::open(name, "gen", script).await);
@@ -361,7 +369,7 @@
     engines.iter().for_each(|engine| registry.put(engine.listed.clone()));
     let gateway = gateway(&registry).await;
     let callers = gateway.callers();
-    // Too large for a copy ahead, so that it has to be moved.
+    // Too large for a backup copy while it grows, so that it has to be migrated.
     let request =
         Request::stream("/gen/x", 500).header("fireflyhoist-prompt-tokens", "60000").body("b");
     let answered = ntex::rt::spawn(async move { request.send(callers).await });
@@ -384,8 +392,9 @@
 /// copied it, and was gone when the run was to be stopped for the rest. The page goes on from the
 /// part, and the next engine reads what that lacks.
 #[ntex::test]
-async fn a_page_goes_on_from_the_part_that_was_copied() {
-    let (answer, seen) = taken_back(Notice::Registry, || vec![Step::Reset], Step::Reset).await;
+async fn a_stream_resumes_from_a_partial_copy() {
+    let (answer, seen) =
+        migrate_from_draining(Notice::Registry, || vec![Step::Reset], Step::Reset).await;
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 40), true));
     let copies: Vec<&str> = seen.iter().filter_map(|s| s.header("fireflyhoist-copy")).collect();
     assert!(copies.iter().any(|copy| copy.ends_with("/c-1")), "{copies:?}");
@@ -395,8 +404,9 @@
 /// Pages are refused by engines with room: copies of answers that ended while they were moved keep
 /// it for seconds. The engine is told that the copy is not needed.
 #[ntex::test]
-async fn a_copy_that_nobody_needs_is_freed() {
-    let (answer, seen) = taken_back(Notice::Registry, || answer(404, "{}"), stream_end()).await;
+async fn an_unused_copy_is_freed() {
+    let (answer, seen) =
+        migrate_from_draining(Notice::Registry, || answer(404, "{}"), stream_end()).await;
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 30), true));
     let freed = seen.iter().any(|seen| seen.line().starts_with("DELETE /v1/copies/c-1"));
     assert!(freed, "{seen:?}");
@@ -405,12 +415,12 @@
 /// Every page on an engine is cut two seconds after a notice that nobody could read: the registry
 /// was away while the engine was taken back. The engine says so itself, and is asked.
 #[ntex::test]
-async fn a_page_leaves_an_engine_whose_notice_cannot_be_read() {
+async fn a_stream_migrates_on_the_report_of_its_engine() {
     let copied = || {
         let copied = Copied { copy: Some("c-2".into()) };
         answer(200, &serde_json::to_string(&copied).expect("JSON"))
     };
-    let (answer, seen) = taken_back(Notice::Report, copied, Step::Reset).await;
+    let (answer, seen) = migrate_from_draining(Notice::Report, copied, Step::Reset).await;
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 160), true));
     let copies: Vec<&str> = seen.iter().filter_map(|s| s.header("fireflyhoist-copy")).collect();
     assert!(copies.iter().any(|copy| copy.ends_with("/c-2")), "{copies:?}");
@@ -420,16 +430,16 @@
 /// its way there, which only the engine knew. The entry that moves it counts it there from the
 /// first call on, so the new page waits at the entry and could still go elsewhere.
 #[ntex::test]
-async fn no_page_is_sent_where_the_memory_of_another_is_on_its_way() {
-    const UNDER_WAY: Duration = Duration::from_millis(1_500);
-    let registry = registry(PAGE).await;
+async fn memory_reserved_for_a_migration_is_not_given_to_a_new_stream() {
+    const TRANSFER_TIME: Duration = Duration::from_millis(1_500);
+    let registry = registry(STREAM).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2"] {
         let script = move |seen: &Seen| {
             if seen.line().starts_with("POST /v1/runs/r-1/move") {
                 let copied = Copied { copy: Some("c-1".into()) };
                 let reply = answer(200, &serde_json::to_string(&copied).expect("JSON"));
-                return [vec![Step::Wait(UNDER_WAY)], reply].concat();
+                return [vec![Step::Wait(TRANSFER_TIME)], reply].concat();
             }
             match seen.header("fireflyhoist-copy") {
                 Some(copy) if copy.ends_with("/r-1") => declined(),
@@ -442,21 +452,21 @@
     let gateway = gateway(&registry).await;
     let callers = gateway.callers();
     // One of them fills most of an engine.
-    let page = || {
+    let stream_request = || {
         Request::new("POST", "/gen/x")
             .header("fireflyhoist-prompt-tokens", "80000")
             .header("fireflyhoist-max-tokens", "500")
             .body("b")
     };
-    ntex::rt::spawn(async move { page().send(callers).await }).detach();
+    ntex::rt::spawn(async move { stream_request().send(callers).await }).detach();
     eventually(async || engines.iter().any(|engine| !engine.seen().is_empty())).await;
     let at = engines.iter().position(|engine| !engine.seen().is_empty()).expect("one runs it");
     let (source, next) = (&engines[at], &engines[1 - at]);
     registry.put(source.draining());
     let moving = |seen: &Seen| seen.line().starts_with("POST /v1/runs/r-1/move");
     eventually(async || source.seen().iter().any(moving)).await;
-    ntex::rt::spawn(async move { page().send(callers).await }).detach();
-    tokio::time::sleep(UNDER_WAY / 2).await;
+    ntex::rt::spawn(async move { stream_request().send(callers).await }).detach();
+    tokio::time::sleep(TRANSFER_TIME / 2).await;
     // The first page may have asked for a copy there that was not made.
     let new = |seen: &Seen| seen.header("fireflyhoist-copy").is_none();
     assert!(!next.seen().iter().any(new), "{:?}", next.seen());
