--- a/crates/gateway/tests/large_texts.rs
+++ b/crates/gateway/tests/large_texts.rs
@@ -19,10 +19,10 @@
 use tokio::time::{Instant, sleep};
 
 /// What one connection of a narrow host carries, in bytes a second.
-const RATE: u64 = 40_000;
+const LINK_BYTES_PER_S: u64 = 40_000;
 
 /// Within this time of its acknowledgement a text is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(3);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A text of so many routes, some 250 bytes each, to one service.
 fn text(revision: u64, routes: usize) -> Text {
@@ -38,7 +38,7 @@
 }
 
 /// Whether an entry knows the route with this number; without a target it can't be served.
-async fn knows(entry: &Gateway, nth: usize) -> bool {
+async fn has_route(entry: &Gateway, nth: usize) -> bool {
     let request = Request::new("POST", &format!("/web/{nth}/x")).body("b");
     request.send(entry.callers()).await.status == 503
 }
@@ -52,7 +52,7 @@
 
 impl Fleet {
     /// Starts a fleet whose links are wide yet, and waits until all are linked.
-    async fn open(registry: &Registry) -> Self {
+    async fn start(registry: &Registry) -> Self {
         let to_registry = Narrow::to(registry.address());
         let mut seeds = Vec::new();
         let mut actives = Vec::new();
@@ -74,13 +74,13 @@
         Self { leaves, actives, to_registry }
     }
 
-    fn squeeze(&self) {
-        self.actives.iter().for_each(|(_, narrow)| narrow.squeeze(RATE));
-        self.to_registry.squeeze(RATE);
+    fn limit_bandwidth(&self) {
+        self.actives.iter().for_each(|(_, narrow)| narrow.squeeze(LINK_BYTES_PER_S));
+        self.to_registry.squeeze(LINK_BYTES_PER_S);
     }
 
     /// Links to the actives so far.
-    fn links(&self) -> usize {
+    fn links_opened(&self) -> usize {
         self.actives.iter().map(|(_, narrow)| narrow.opened()).sum()
     }
 }
@@ -92,21 +92,21 @@
 /// dials others, and they begin anew. A played day shows it: 148 links lost within a second, each
 /// leaf taking in 4.9 MB for two texts of 1.1 MB that differ in one route.
 #[ntex::test]
-async fn large_texts_one_after_the_other_are_in_force_in_time() {
+async fn consecutive_large_texts_are_in_force_in_time() {
     let registry = Registry::open().await;
     registry.publish(text(1, 270));
-    let fleet = Fleet::open(&registry).await;
-    fleet.squeeze();
-    let links = fleet.links();
+    let fleet = Fleet::start(&registry).await;
+    fleet.limit_bandwidth();
+    let links = fleet.links_opened();
     registry.publish(text(2, 400));
     sleep(Duration::from_secs(1)).await;
     registry.publish(text(3, 401));
     let published = Instant::now();
     for leaf in &fleet.leaves {
-        eventually(async || knows(leaf, 400).await).await;
+        eventually(async || has_route(leaf, 400).await).await;
     }
-    assert!(published.elapsed() < IN_FORCE, "{:?}", published.elapsed());
-    assert_eq!(fleet.links(), links, "no link is lost for what it carries");
+    assert!(published.elapsed() < IN_FORCE_TIMEOUT, "{:?}", published.elapsed());
+    assert_eq!(fleet.links_opened(), links, "links were lost under load");
 }
 
 /// An entry starts behind a narrow link and never gets ready: its text takes longer to arrive than
@@ -117,10 +117,10 @@
     let registry = Registry::open().await;
     registry.publish(text(1, 400));
     let narrow = Narrow::to(registry.address());
-    narrow.squeeze(RATE);
+    narrow.squeeze(LINK_BYTES_PER_S);
     let entry = unready(narrow.address(), "entry-1", &[]).await;
     until_ready(&entry).await;
-    assert!(knows(&entry, 399).await);
+    assert!(has_route(&entry, 399).await);
 }
 
 /// The same while the registry is away, with one peer that has the text.
@@ -132,10 +132,10 @@
     registry.put(target.listed.clone());
     let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
-    narrow.squeeze(RATE);
-    let away = Registry::open().await;
-    away.set_mood(Mood::Silent);
-    let second = unready(away.address(), "entry-2", &[first.peers()]).await;
+    narrow.squeeze(LINK_BYTES_PER_S);
+    let unresponsive = Registry::open().await;
+    unresponsive.set_mood(Mood::Silent);
+    let second = unready(unresponsive.address(), "entry-2", &[first.peers()]).await;
     until_ready(&second).await;
     let request = Request::new("POST", "/web/399/x").body("b");
     assert_eq!(request.send(second.callers()).await.status, 200);
@@ -159,18 +159,18 @@
     }
     let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
-    narrow.squeeze(RATE);
-    let away = Registry::open().await;
-    away.set_mood(Mood::Silent);
-    let second = unready(away.address(), "entry-2", &[first.peers()]).await;
+    narrow.squeeze(LINK_BYTES_PER_S);
+    let unresponsive = Registry::open().await;
+    unresponsive.set_mood(Mood::Silent);
+    let second = unready(unresponsive.address(), "entry-2", &[first.peers()]).await;
     until_ready(&second).await;
     // As long as three copies would take.
     sleep(Duration::from_secs(3)).await;
     let page = Request::get("/metrics").send(first.metrics()).await.body;
     let sent = r#"fireflyhoist_link_frames_total{frame="targets",way="sent"} "#;
     let frames = page.lines().find_map(|line| line.strip_prefix(sent));
-    assert_eq!(frames, Some("1"), "lists sent");
+    assert_eq!(frames, Some("1"), "target lists sent");
     let sent = r#"fireflyhoist_link_bytes_total{frame="targets",way="sent"} "#;
     let bytes = page.lines().find_map(|line| line.strip_prefix(sent)?.parse().ok());
-    assert!(bytes > Some(RATE), "{bytes:?} bytes are no load for the link");
+    assert!(bytes > Some(LINK_BYTES_PER_S), "{bytes:?} bytes do not load the link");
 }
--- a/crates/gateway/tests/requests.rs
+++ b/crates/gateway/tests/requests.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use yare::parameterized;
 
-async fn one(route: Route, script: Vec<Step>) -> (Registry, Standin, Gateway) {
+async fn single_target(route: Route, script: Vec<Step>) -> (Registry, Standin, Gateway) {
     let registry = Registry::open().await;
     let service = route.name.to_string();
     registry.publish(text(1, vec![route]));
@@ -27,8 +27,9 @@
 /// everyone, or holds an engine's memory. Whatever it sent is replaced or left out; its key stays
 /// with the entry.
 #[ntex::test]
-async fn what_only_the_system_may_say_is_never_the_callers() {
-    let (_registry, target, gateway) = one(route("web", Kind::Unsafe), answer(200, "x")).await;
+async fn reserved_headers_of_callers_are_replaced() {
+    let (_registry, target, gateway) =
+        single_target(route("web", Kind::Unsafe), answer(200, "x")).await;
     let forged = Request::new("POST", "/web/a%20b/?q=%2F&r")
         .header("fireflyhoist-workspace", "Bank")
         .header("fireflyhoist-rank", "0")
@@ -55,11 +56,11 @@
 /// A page stands still for a second in its middle: an engine that was full stopped it to begin a
 /// request of a better rank, and read it anew afterwards. Engines are told the same urgency of all.
 #[ntex::test]
-async fn engines_are_told_one_urgency_whatever_the_rank() {
+async fn engines_receive_one_urgency_for_every_rank() {
     let mut urgencies = Vec::new();
     for rank in [0, 3] {
         let ranked = Route { rank, ..route("web", Kind::Unsafe) };
-        let (_registry, target, gateway) = one(ranked, answer(200, "x")).await;
+        let (_registry, target, gateway) = single_target(ranked, answer(200, "x")).await;
         let answered = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
         assert_eq!(answered.status, 200);
         let urgency = target.seen().remove(0).header("fireflyhoist-rank").map(str::to_owned);
@@ -77,8 +78,9 @@
     length_with_sign = { "content-length: +4", "abcd" },
 )]
 #[test_macro(ntex::test)]
-async fn a_request_of_doubtful_length_reaches_nobody(framing: &str, body: &str) {
-    let (_registry, target, gateway) = one(route("web", Kind::Unsafe), answer(200, "x")).await;
+async fn a_request_with_ambiguous_framing_is_not_forwarded(framing: &str, body: &str) {
+    let (_registry, target, gateway) =
+        single_target(route("web", Kind::Unsafe), answer(200, "x")).await;
     let hidden = "GET /web/hidden HTTP/1.1\r\nhost: svc.example\r\n\r\n";
     let (name, value) = framing.split_once(": ").expect("a header");
     let request = Request::new("POST", "/web/x")
@@ -91,8 +93,9 @@
 
 /// A body that comes in chunks goes on whole, with a length of its own.
 #[ntex::test]
-async fn a_chunked_body_goes_on_whole() {
-    let (_registry, target, gateway) = one(route("web", Kind::Unsafe), answer(200, "x")).await;
+async fn a_chunked_body_is_forwarded_whole() {
+    let (_registry, target, gateway) =
+        single_target(route("web", Kind::Unsafe), answer(200, "x")).await;
     let request = Request::new("POST", "/web/x")
         .header("transfer-encoding", "chunked")
         .raw(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
@@ -103,10 +106,10 @@
 
 /// A target works on for a caller that has long given up: it was told of more time than is left.
 #[ntex::test]
-async fn a_target_is_told_what_is_left() {
+async fn a_target_receives_the_remaining_time() {
     let mut slow = route("web", Kind::Unsafe);
     slow.timeout = Duration::from_millis(800);
-    let (_registry, target, gateway) = one(slow, answer(200, "x")).await;
+    let (_registry, target, gateway) = single_target(slow, answer(200, "x")).await;
     let request = Request::new("POST", "/web/x").header("fireflyhoist-timeout-ms", "60000");
     assert_eq!(request.body("b").send(gateway.callers()).await.status, 200);
     let seen = target.seen().remove(0);
@@ -118,10 +121,10 @@
 /// A caller waits on although its route promised an end: its target is mute. At the route's timeout
 /// it is told, and told that nobody knows whether the request ran.
 #[ntex::test]
-async fn a_mute_target_is_answered_for_at_the_routes_timeout() {
+async fn an_unresponsive_target_is_answered_for_at_the_route_timeout() {
     let mut short = route("web", Kind::Unsafe);
     short.timeout = Duration::from_millis(300);
-    let (_registry, target, gateway) = one(short, vec![Step::Hang]).await;
+    let (_registry, target, gateway) = single_target(short, vec![Step::Hang]).await;
     let answer = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
     assert_eq!(answer.status, 504);
     assert!(answer.body.contains("\"ran\":\"unknown\""), "{}", answer.body);
@@ -137,21 +140,26 @@
     stream = { Kind::Stream { resumable: false } },
 )]
 #[test_macro(ntex::test)]
-async fn a_target_is_told_when_the_caller_leaves(kind: Kind) {
-    let (_registry, target, gateway) = one(route("web", kind), vec![Step::Hang]).await;
+async fn a_disconnecting_caller_closes_the_connection_to_the_target(kind: Kind) {
+    let (_registry, target, gateway) = single_target(route("web", kind), vec![Step::Hang]).await;
     let request = Request::stream("/web/x", 20).body("b");
     let caller = request.open(gateway.callers()).await;
     eventually(async || !target.seen().is_empty()).await;
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(caller);
     eventually(async || !target.closed().is_empty()).await;
-    assert!(left.elapsed() < Duration::from_millis(500), "{:?}", left.elapsed());
+    assert!(
+        disconnected_at.elapsed() < Duration::from_millis(500),
+        "{:?}",
+        disconnected_at.elapsed()
+    );
 }
 
 /// A caller sends two requests on one connection; each gets its own answer, in order.
 #[ntex::test]
-async fn a_connection_is_used_again() {
-    let (_registry, _target, gateway) = one(route("web", Kind::Unsafe), answer(200, "hello")).await;
+async fn a_connection_serves_several_requests() {
+    let (_registry, _target, gateway) =
+        single_target(route("web", Kind::Unsafe), answer(200, "hello")).await;
     let mut caller = tokio::net::TcpStream::connect(gateway.callers()).await.expect("listens");
     let request = "GET /web/x HTTP/1.1\r\nhost: svc.example\r\nauthorization: Bearer k-1\r\n\
                    fireflyhoist-request: r-1\r\n\r\n";
@@ -164,7 +172,7 @@
     }
 }
 
-async fn mute_first(retry_burst: f64) -> (Gateway, Vec<Standin>, Registry) {
+async fn first_attempt_hangs(retry_burst: f64) -> (Gateway, Vec<Standin>, Registry) {
     let registry = Registry::open().await;
     let mut lookup = route("web", Kind::Safe);
     lookup.objective = Duration::from_millis(200);
@@ -196,9 +204,9 @@
 /// so half of its objective later it goes to the other target as well, and never to the mute one
 /// again.
 #[ntex::test]
-async fn a_lookup_at_a_mute_target_goes_to_another_as_well() {
+async fn a_lookup_at_an_unresponsive_target_is_hedged() {
     for _ in 0..6 {
-        let (gateway, targets, _registry) = mute_first(160.0).await;
+        let (gateway, targets, _registry) = first_attempt_hangs(160.0).await;
         let answer = Request::new("GET", "/web/x").send(gateway.callers()).await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "hello"));
         assert!(answer.took < Duration::from_millis(500), "{:?}", answer.took);
@@ -209,8 +217,8 @@
 /// Targets slow down together, each lookup is sent twice, and the load that slowed them doubles: a
 /// second send draws on the budget that bounds repeats, also while the first is under way.
 #[ntex::test]
-async fn a_second_send_draws_on_the_retry_budget() {
-    let (gateway, targets, _registry) = mute_first(0.0).await;
+async fn a_hedge_draws_on_the_retry_budget() {
+    let (gateway, targets, _registry) = first_attempt_hangs(0.0).await;
     let answer = Request::new("GET", "/web/x").send(gateway.callers()).await;
     assert_eq!(answer.status, 504);
     assert_eq!(targets.iter().map(|target| target.seen().len()).sum::<usize>(), 1);
--- a/crates/gateway/tests/targets.rs
+++ b/crates/gateway/tests/targets.rs
@@ -10,7 +10,7 @@
 use support::target::{Standin, answer, listed};
 use support::{eventually, gateway, route, text};
 
-async fn two() -> (Registry, Standin, Standin) {
+async fn two_targets() -> (Registry, Standin, Standin) {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let first = Standin::open("t-1", "web", |_| answer(200, "first")).await;
@@ -23,8 +23,8 @@
 /// A dispatch is cut as its replica is taken down: it had said that it drains, and new work still
 /// went there.
 #[ntex::test]
-async fn a_target_that_drains_gets_nothing_new() {
-    let (registry, first, second) = two().await;
+async fn a_draining_target_gets_no_new_requests() {
+    let (registry, first, second) = two_targets().await;
     let gateway = gateway(&registry).await;
     registry.put(first.draining());
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -40,8 +40,8 @@
 /// A draining target is listed as ready again by an entry that was written before: work goes to a
 /// process that is about to end. What left never comes back under the same name.
 #[ntex::test]
-async fn a_target_that_left_does_not_come_back() {
-    let (registry, first, _second) = two().await;
+async fn an_outdated_entry_does_not_restore_a_drained_target() {
+    let (registry, first, _second) = two_targets().await;
     let gateway = gateway(&registry).await;
     registry.put(first.draining());
     registry.put(first.listed.clone());
@@ -55,8 +55,8 @@
 /// The registry loses entries of targets that live, since these could not renew them while it was
 /// down. Until they are back every request would be refused with all targets free.
 #[ntex::test]
-async fn targets_that_lapsed_with_the_registry_stay_in_use_until_they_are_back() {
-    let (registry, first, second) = two().await;
+async fn expired_targets_stay_in_use_after_a_registry_outage() {
+    let (registry, first, second) = two_targets().await;
     let gateway = gateway(&registry).await;
     registry.set_mood(Mood::Busy);
     tokio::time::sleep(Duration::from_millis(3_500)).await;
@@ -83,7 +83,7 @@
 /// another. The instance that is meant goes along; whoever else answers declines, and it is sent to
 /// one that is meant.
 #[ntex::test]
-async fn a_target_whose_address_is_anothers_is_left() {
+async fn a_target_whose_address_was_reused_is_avoided() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let other = Standin::open("t-9", "other", |seen| match seen.header("fireflyhoist-instance") {
@@ -99,13 +99,13 @@
         let answer = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "second"));
     }
-    assert!(other.seen().len() <= 1, "it is asked once at the most");
+    assert!(other.seen().len() <= 1, "the other instance got more than one request");
 }
 
 /// A watch is cut or its history dropped: what changed meanwhile is read from the list.
 #[ntex::test]
-async fn a_forgotten_history_is_read_again() {
-    let (registry, first, second) = two().await;
+async fn the_list_is_read_again_after_a_dropped_history() {
+    let (registry, first, second) = two_targets().await;
     let gateway = gateway(&registry).await;
     registry.remove(&first.listed);
     registry.forget();
--- a/crates/gateway/tests/texts.rs
+++ b/crates/gateway/tests/texts.rs
@@ -17,7 +17,7 @@
 /// A member is told that the archive does not exist: the entry has just started and knows no text.
 /// It says that it is not ready instead, that nothing ran, and when to come back.
 #[ntex::test]
-async fn an_entry_without_a_text_refuses_nothing_for_good() {
+async fn an_entry_without_a_text_answers_503() {
     let registry = Registry::open().await;
     registry.set_mood(Mood::Busy);
     let gateway = unready(registry.address(), "entry-1", &[]).await;
@@ -31,7 +31,7 @@
 
 /// Requests without a route, or with a key that nobody holds, reach no target.
 #[ntex::test]
-async fn routes_and_keys_decide() {
+async fn unknown_routes_and_keys_are_refused() {
     let registry = Registry::open().await;
     let inner = Route {
         prefix: "/web/inner/".into(),
@@ -51,17 +51,17 @@
     assert_eq!(ask(Request::new("POST", "/none/x")).await.status, 404);
     assert_eq!(ask(Request::keyless("POST", "/open/x")).await.body, "open");
     assert_eq!(ask(Request::keyless("POST", "/web/x")).await.status, 401);
-    let stranger = Request::keyless("POST", "/web/x").header("authorization", "Bearer other");
-    assert_eq!(ask(stranger).await.status, 401);
+    let unknown_key = Request::keyless("POST", "/web/x").header("authorization", "Bearer other");
+    assert_eq!(ask(unknown_key).await.status, 401);
     assert_eq!(ask(Request::get("/web/x")).await.status, 404, "another host");
-    let twice = Request::new("POST", "/web/x").header("host", "other.example");
-    assert_eq!(ask(twice).await.status, 400, "two hosts");
+    let two_hosts = Request::new("POST", "/web/x").header("host", "other.example");
+    assert_eq!(ask(two_hosts).await.status, 400, "two hosts");
 }
 
 /// A revoked key still opens the archive, or a dropped route still answers, seconds after the
 /// operators took it away.
 #[ntex::test]
-async fn a_newer_text_is_in_force_at_once() {
+async fn a_newer_text_applies_at_once() {
     let registry = Registry::open().await;
     registry.publish(text(7, vec![web()]));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
@@ -79,7 +79,7 @@
 /// A dropped route comes back: a reading of an older text arrives after the newer one, from a
 /// registry that serves stale copies. The higher revision stays.
 #[ntex::test]
-async fn an_older_text_never_comes_back() {
+async fn an_older_text_is_ignored() {
     let registry = Registry::open().await;
     let both = text(7, vec![web(), route("old", Kind::Unsafe)]);
     registry.publish(text(9, vec![web()]));
@@ -95,7 +95,7 @@
 /// All machines lose power and return while the registry is down: whoever knows the text and the
 /// targets tells the one that starts, which serves within a second or two.
 #[ntex::test]
-async fn an_entry_that_cannot_read_the_registry_learns_from_its_peers() {
+async fn an_entry_without_a_registry_starts_from_its_peers() {
     let registry = Registry::open().await;
     registry.publish(text(3, vec![web()]));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
@@ -118,7 +118,7 @@
 /// An entry that leaves is out of the answer with addresses, says so itself, and still answers
 /// those who come late, closing their connections.
 #[ntex::test]
-async fn an_entry_that_leaves_is_no_longer_named() {
+async fn a_draining_entry_is_not_listed() {
     let registry = Registry::open().await;
     let page = route("gen", Kind::Stream { resumable: false });
     registry.publish(text(3, vec![web(), page]));
@@ -130,11 +130,11 @@
     let (callers, readiness) = (second.callers(), second.readiness());
     ntex::rt::spawn(second.drain()).detach();
     eventually(async || Request::get("/readyz").send(readiness).await.status == 503).await;
-    let named = async || {
+    let is_listed = async || {
         let entries = Request::get("/v1/entries").send(first.directory()).await.body;
         entries.contains(&callers.to_string())
     };
-    eventually(async || !named().await).await;
+    eventually(async || !is_listed().await).await;
     let late = Request::new("POST", "/web/x").body("b").send(callers).await;
     assert_eq!(late.status, 200);
     assert_eq!(late.header("connection"), Some("close"));
@@ -146,7 +146,7 @@
 /// Eighty entries ask the registry again at each new text, and what the operators pay for calls grows
 /// with the fleet. Those that stand by are told by two that carry the traffic, and know it in time.
 #[ntex::test]
-async fn entries_that_stand_by_are_told_of_texts() {
+async fn leaves_receive_texts_from_active_entries() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![web()]));
     let mut entries = Vec::new();
@@ -180,7 +180,7 @@
 /// all their calls to the registry went silent, new ones work. Each awaits changes of the text for
 /// half a minute, since the others would tell it; none of them hears any.
 #[ntex::test]
-async fn a_text_is_heard_of_though_all_watches_fell_silent() {
+async fn a_text_is_received_while_all_watches_hang() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![web()]));
     let first = gateway(&registry).await;
