--- a/crates/gateway/tests/large_texts.rs
+++ b/crates/gateway/tests/large_texts.rs
@@ -1,8 +1,8 @@
-//! Texts that take a good part of what an entry's link carries.
+//! Distribution of texts that use a large share of the bandwidth of an entry's link.
 //!
-//! Everything is a tenth of what it is at the size to design for: texts of a hundred kilobytes
-//! stand for the megabyte that a text may have, and connections of 40 KB/s for a third each of a
-//! link of 10 Mbit/s, which leads to two actives and the registry.
+//! All sizes are a tenth of the design size: texts of 100 KB instead of the maximum of 1 MB, and
+//! connections of 40 KB/s. Each of these stands for a third of a link of 10 Mbit/s that is shared
+//! by the connections to two active entries and the registry.
 
 mod support;
 
@@ -18,13 +18,13 @@
 use support::{behind, eventually, of_power, route, unready, until_ready};
 use tokio::time::{Instant, sleep};
 
-/// What one connection of a narrow host carries, in bytes a second.
+/// Bandwidth of one connection of a narrow link, in bytes per second.
 const LINK_BYTES_PER_S: u64 = 40_000;
 
-/// Within this time of its acknowledgement a text is in force everywhere.
+/// Maximum time from the publication of a text until it is in force at every entry.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A text of so many routes, some 250 bytes each, to one service.
+/// A text with `routes` routes of about 250 bytes each, all to one service.
 fn text(revision: u64, routes: usize) -> Text {
     let first = route("web", Kind::Unsafe);
     let numbered = |nth: usize| Route {
@@ -37,13 +37,15 @@
     text
 }
 
-/// Whether an entry knows the route with this number; without a target it can't be served.
+/// Whether an entry has the route with this number. The route has no target, so an entry that has
+/// it answers 503, and 404 otherwise.
 async fn has_route(entry: &Gateway, nth: usize) -> bool {
     let request = Request::new("POST", &format!("/web/{nth}/x")).body("b");
     request.send(entry.callers()).await.status == 503
 }
 
-/// Two strong entries, and twelve weak ones that reach all else over narrow links.
+/// Two powerful entries, which become active, and twelve weak ones, which become leaves and reach
+/// everything else over narrow links.
 struct Fleet {
     leaves: Vec<Gateway>,
     actives: Vec<(Gateway, Narrow)>,
@@ -51,7 +53,7 @@
 }
 
 impl Fleet {
-    /// Starts a fleet whose links are wide yet, and waits until all are linked.
+    /// Starts a fleet with unlimited bandwidth and waits until all entries are linked.
     async fn start(registry: &Registry) -> Self {
         let to_registry = Narrow::to(registry.address());
         let mut seeds = Vec::new();
@@ -69,7 +71,7 @@
         for entry in leaves.iter().chain(actives.iter().map(|(active, _)| active)) {
             until_ready(entry).await;
         }
-        // Links settle: seeds are dialled for three seconds.
+        // Entries dial their seeds for three seconds before the links are stable.
         sleep(Duration::from_secs(4)).await;
         Self { leaves, actives, to_registry }
     }
@@ -79,18 +81,20 @@
         self.to_registry.squeeze(LINK_BYTES_PER_S);
     }
 
-    /// Links to the actives so far.
+    /// Number of links opened to the active entries so far.
     fn links_opened(&self) -> usize {
         self.actives.iter().map(|(_, narrow)| narrow.opened()).sum()
     }
 }
 
-/// Callers are refused with 404 for a route that was published four seconds ago. Two texts of
-/// thousands of routes were published one right after the other. Each active sends the whole text
-/// to every leaf that lacks it, and again as long as it lacks it; two copies are more than the
-/// leaf's link carries before its links count as silent, so it closes them with what had arrived,
-/// dials others, and they begin anew. A played day shows it: 148 links lost within a second, each
-/// leaf taking in 4.9 MB for two texts of 1.1 MB that differ in one route.
+/// Guards against 404 answers for a route that was published four seconds ago.
+///
+/// Two texts of thousands of routes are published in quick succession. If each active entry sends
+/// the whole text to every leaf that lacks it, and repeats it while the leaf lacks it, two copies
+/// exceed what the leaf's link carries before its links time out as silent. The leaf then closes
+/// them, discards what had arrived, dials other entries and starts over. In one such case, 148
+/// links were lost within a second and each leaf received 4.9 MB for two texts of 1.1 MB that
+/// differ in one route.
 #[ntex::test]
 async fn consecutive_large_texts_are_in_force_in_time() {
     let registry = Registry::open().await;
@@ -109,9 +113,10 @@
     assert_eq!(fleet.links_opened(), links, "links were lost under load");
 }
 
-/// An entry starts behind a narrow link and never gets ready: its text takes longer to arrive than
-/// the call that reads it may take, so it is given up nearly whole and read again from the start.
-/// Bytes that keep coming are no reason to give up.
+/// Guards against an entry behind a narrow link that never becomes ready. Its text takes longer to
+/// arrive than the total timeout of the call that reads it, so the call would be aborted shortly
+/// before the end and restarted from the beginning. A call must not time out while bytes keep
+/// arriving.
 #[ntex::test]
 async fn a_large_text_arrives_over_a_narrow_link_to_the_registry() {
     let registry = Registry::open().await;
@@ -123,7 +128,7 @@
     assert!(has_route(&entry, 399).await);
 }
 
-/// The same while the registry is away, with one peer that has the text.
+/// The same while the registry does not respond and one peer has the text.
 #[ntex::test]
 async fn a_large_text_arrives_over_a_narrow_link_to_a_peer() {
     let registry = Registry::open().await;
@@ -141,18 +146,19 @@
     assert_eq!(request.send(second.callers()).await.status, 200);
 }
 
-/// An entry that starts behind a narrow link hears its peers seconds late: with each heartbeat that
-/// says that it knows no targets it is sent all of them once more, and they queue on its link. It
-/// asks, and is sent them once.
+/// Guards against repeated copies of the target list on the link of a starting entry. It receives
+/// from its peers with a delay of seconds, and every heartbeat that it sends meanwhile says that it
+/// has no targets. If each of them were answered with a copy, the copies would queue on the link.
+/// The entry requests the list instead and receives it once.
 #[ntex::test]
 async fn a_list_of_targets_is_sent_once() {
-    // As many bytes as keep the narrow link busy for longer than a heartbeat.
+    // Enough bytes to keep the narrow link busy for longer than a heartbeat interval.
     const TARGETS: u64 = 5_000;
     let registry = Registry::open().await;
     registry.publish(text(1, 1));
     let standin = Standin::open("t-0", "web", |_| answer(200, "web")).await;
     for nth in 0..TARGETS {
-        // Names that don't deflate, as those of real targets.
+        // Names that do not compress, like those of real targets.
         let id = format!("t-{:016x}", nth.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let id = id.parse().expect("a name");
         registry.put(Target { id, ..standin.listed.clone() });
@@ -164,7 +170,7 @@
     unresponsive.set_mood(Mood::Silent);
     let second = unready(unresponsive.address(), "entry-2", &[first.peers()]).await;
     until_ready(&second).await;
-    // As long as three copies would take.
+    // The time that three copies would take.
     sleep(Duration::from_secs(3)).await;
     let page = Request::get("/metrics").send(first.metrics()).await.body;
     let sent = r#"fireflyhoist_link_frames_total{frame="targets",way="sent"} "#;
--- a/crates/gateway/tests/poison.rs
+++ b/crates/gateway/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end the targets that run them, and those that ran beside them.
+//! Quarantine of requests that crash the targets that run them, without effect on other requests.
 
 mod support;
 
@@ -16,13 +16,13 @@
 
 const RESUMABLE: Kind = Kind::Stream { resumable: true };
 
-/// The body of the request that ends what runs it.
+/// The body of the request that crashes the target that runs it.
 const POISON: &str = "poison";
 
-/// Sends that may still follow once three targets have ended.
+/// Maximum number of sends of a request after it has crashed three targets.
 const MAX_LATE_SENDS: usize = 3;
 
-/// Between two callers that ask for the same.
+/// Interval between two callers that send the same request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
 
 fn serve(seen: &Seen) -> Vec<Step> {
@@ -40,7 +40,7 @@
 }
 
 impl Fleet {
-    /// Four targets behind so many entries.
+    /// Starts four targets and `entries` entries.
     async fn open(entries: usize, kind: Kind) -> Self {
         let registry = Arc::new(Registry::open().await);
         let route = Route { attempts: 2, ..route("gen", kind) };
@@ -56,7 +56,7 @@
         fleet
     }
 
-    /// Starts one more entry and waits until it knows the others.
+    /// Starts another entry and waits until the first entry lists all of them.
     async fn join(&mut self) {
         let name = format!("entry-{}", self.entries.len());
         let seeds: Vec<_> = self.entries.iter().map(Gateway::peers).collect();
@@ -74,7 +74,8 @@
         Request::stream("/gen/x", 20).body(body).send(self.entries[entry].callers()).await
     }
 
-    /// Asks for the poison until three targets have ended and all entries have had time to hear.
+    /// Sends the poison request until three targets have crashed, then waits until all entries have
+    /// received the crashes.
     async fn crash_until_suspect(&self) {
         for entry in (0..self.entries.len()).cycle() {
             if self.crashes.ends() >= 3 {
@@ -86,7 +87,8 @@
     }
 }
 
-/// Guards against a request that ends each target that runs it being sent to one after another.
+/// Guards against a request that crashes every target that runs it being sent to one target after
+/// another.
 #[parameterized(
     one_entry = { 1, RESUMABLE },
     two_entries = { 2, RESUMABLE },
@@ -112,7 +114,8 @@
     assert_eq!((served.status, served.body, served.whole), (200, events(1, 2), true));
 }
 
-/// Guards against an entry that has just joined sending what the others know to end targets.
+/// Guards against an entry that has just joined sending a request that the other entries know to
+/// crash targets.
 #[ntex::test]
 async fn a_joining_entry_receives_the_suspects() {
     let mut fleet = Fleet::open(2, RESUMABLE).await;
--- a/crates/gateway/tests/target_limits.rs
+++ b/crates/gateway/tests/target_limits.rs
@@ -1,4 +1,4 @@
-//! Targets that name how many requests a second they take, of all entries together.
+//! Targets that advertise the maximum rate of requests that they accept from all entries together.
 
 mod support;
 
@@ -16,21 +16,22 @@
 use tokio::time::{Instant, sleep};
 use yare::parameterized;
 
-/// The bound on what a target gets in [`WINDOW`]: one and a half times its limit and five requests.
+/// Upper bound on the requests that a target receives in any [`WINDOW`]: this factor times what its
+/// limit allows in that time, plus [`BURST_REQUESTS`].
 const BURST_FACTOR: f64 = 1.5;
 const BURST_REQUESTS: f64 = 5.0;
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// The part of its limit that a target must get where more is asked.
+/// Minimum share of its limit that a target receives while callers ask for more.
 const MIN_USED_SHARE: f64 = 0.8;
 
-/// From when a limit is named until it is kept to, by entries that had it named to them.
+/// Time until a limit is applied by the entries to which a target has advertised it.
 const PROPAGATION: Duration = Duration::from_millis(500);
 
-/// Between two requests of the callers.
+/// Interval between two requests of the callers.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(12);
 
-/// A target whose limit a test sets.
+/// A target that advertises a limit set by the test.
 #[derive(Clone)]
 struct LimitedTarget {
     standin: Standin,
@@ -59,7 +60,8 @@
         *self.limit.lock() = limit.map(str::to_owned);
     }
 
-    /// The most requests in [`WINDOW`], and all, from some time on.
+    /// Returns the maximum number of requests in any [`WINDOW`] and the total number, both counted
+    /// from `from` on.
     fn arrival_counts(&self, from: Instant) -> (usize, usize) {
         let arrivals = self.arrivals.lock();
         let arrivals: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
@@ -69,7 +71,8 @@
         (arrivals.iter().map(within).max().unwrap_or_default(), arrivals.len())
     }
 
-    /// Asserts that no span had more than is allowed, and that what it takes was mostly used.
+    /// Asserts that no [`WINDOW`] exceeded the bound, and that the limit was used at least to
+    /// [`MIN_USED_SHARE`].
     fn assert_within_limit(&self, from: Instant, limit: f64) {
         let (most, total) = self.arrival_counts(from);
         let allowed = BURST_FACTOR * limit * WINDOW.as_secs_f64() + BURST_REQUESTS;
@@ -110,7 +113,7 @@
         fleet
     }
 
-    /// Asks for some time, at the entries in turn, without waiting for answers.
+    /// Sends requests for `duration`, to the entries in turn, without waiting for the answers.
     async fn send_load(&self, duration: Duration, entries: &[usize]) {
         let end = Instant::now() + duration;
         for nth in entries.iter().cycle() {
@@ -131,7 +134,8 @@
     }
 }
 
-/// Guards against a limit that holds over all entries being counted by each for itself, or not at all.
+/// Guards against each entry enforcing the whole limit on its own instead of a share of it, and
+/// against a limit that is not enforced.
 #[parameterized(
     one_entry = { 1, "5" },
     three_entries = { 3, "5" },
@@ -148,8 +152,8 @@
     assert_eq!(fleet.refused(), 0);
 }
 
-/// Guards against an entry that has all the traffic being held to a small share, and against a limit
-/// passed while traffic moves from one entry to another.
+/// Guards against an entry being restricted to a small share while it has all the traffic, and
+/// against a limit being exceeded while traffic moves from one entry to another.
 #[ntex::test]
 async fn a_limit_follows_the_traffic() {
     let fleet = Fleet::open(3, &[Some("5"), None]).await;
@@ -162,7 +166,7 @@
     assert_eq!(fleet.refused(), 0);
 }
 
-/// Guards against requests waiting in vain where no target takes more.
+/// Guards against requests waiting until their timeout while all targets are at their limit.
 #[ntex::test]
 async fn requests_are_refused_at_once_when_all_targets_are_at_their_limit() {
     let fleet = Fleet::open(2, &[Some("5"), Some("5")]).await;
@@ -180,7 +184,8 @@
     }
 }
 
-/// Guards against a limit that is named no more being kept to, and against one that rises.
+/// Guards against a limit being enforced after its target has stopped advertising it, and against a
+/// raised limit having no effect.
 #[ntex::test]
 async fn a_raised_or_withdrawn_limit_applies() {
     let fleet = Fleet::open(2, &[Some("3"), None]).await;
@@ -199,7 +204,7 @@
     assert!(limited * 2 > other, "{limited} at the formerly limited target, {other} at the other");
 }
 
-/// Guards against what can't be read being taken for a limit, or for the end of one.
+/// Guards against an invalid header being applied as a limit, or ending the current one.
 #[ntex::test]
 async fn an_invalid_limit_changes_nothing() {
     let fleet = Fleet::open(1, &[Some("3"), Some("-1")]).await;
--- a/crates/gateway/tests/texts.rs
+++ b/crates/gateway/tests/texts.rs
@@ -1,4 +1,4 @@
-//! Which version of the operators' text decides, from the first moment on.
+//! Which version of the operators' text an entry applies, from its start on.
 
 mod support;
 
@@ -14,8 +14,8 @@
     route("web", Kind::Unsafe)
 }
 
-/// A member is told that the archive does not exist: the entry has just started and knows no text.
-/// It says that it is not ready instead, that nothing ran, and when to come back.
+/// Guards against an entry that has just started and has no text yet answering 404 for routes that
+/// exist. It must answer 503, that the request did not run, and when to retry.
 #[ntex::test]
 async fn an_entry_without_a_text_answers_503() {
     let registry = Registry::open().await;
@@ -29,7 +29,7 @@
     assert_eq!(Request::get("/v1/entries").send(gateway.directory()).await.status, 503);
 }
 
-/// Requests without a route, or with a key that nobody holds, reach no target.
+/// Requests that match no route, or whose key is unknown, reach no target.
 #[ntex::test]
 async fn unknown_routes_and_keys_are_refused() {
     let registry = Registry::open().await;
@@ -58,8 +58,8 @@
     assert_eq!(ask(two_hosts).await.status, 400, "two hosts");
 }
 
-/// A revoked key still opens the archive, or a dropped route still answers, seconds after the
-/// operators took it away.
+/// Guards against a revoked key or a removed route being accepted seconds after the operators
+/// removed it.
 #[ntex::test]
 async fn a_newer_text_applies_at_once() {
     let registry = Registry::open().await;
@@ -76,8 +76,8 @@
     eventually(async || ask().await == 401).await;
 }
 
-/// A dropped route comes back: a reading of an older text arrives after the newer one, from a
-/// registry that serves stale copies. The higher revision stays.
+/// Guards against a removed route being served again because a registry that serves stale copies
+/// returns an older text after the newer one. The text with the higher revision stays in force.
 #[ntex::test]
 async fn an_older_text_is_ignored() {
     let registry = Registry::open().await;
@@ -92,8 +92,8 @@
     assert_eq!(answer.status, 404);
 }
 
-/// All machines lose power and return while the registry is down: whoever knows the text and the
-/// targets tells the one that starts, which serves within a second or two.
+/// Guards against an entry not starting while the registry is down, as after a power loss of all
+/// hosts: it must get the text and the targets from peers that have them.
 #[ntex::test]
 async fn an_entry_without_a_registry_starts_from_its_peers() {
     let registry = Registry::open().await;
@@ -115,8 +115,9 @@
     eventually(both).await;
 }
 
-/// An entry that leaves is out of the answer with addresses, says so itself, and still answers
-/// those who come late, closing their connections.
+/// An entry that drains is removed from the directory, reports itself as not ready, and still
+/// answers late requests, closing their connections. It refuses streams that would be cut when its
+/// process ends.
 #[ntex::test]
 async fn a_draining_entry_is_not_listed() {
     let registry = Registry::open().await;
@@ -143,8 +144,8 @@
     assert!(long.body.contains("\"ran\":\"no\"") && long.header("retry-after").is_some());
 }
 
-/// Eighty entries ask the registry again at each new text, and what the operators pay for calls grows
-/// with the fleet. Those that stand by are told by two that carry the traffic, and know it in time.
+/// Guards against every one of eighty entries reading each new text from the registry: the cost of
+/// these calls grows with the fleet. Leaves receive texts from the two active entries, and in time.
 #[ntex::test]
 async fn leaves_receive_texts_from_active_entries() {
     let registry = Registry::open().await;
@@ -162,7 +163,7 @@
     for entry in &entries {
         until_ready(entry).await;
     }
-    // Links settle: seeds are dialled for three seconds.
+    // Entries dial their seeds for three seconds before the links are stable.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let before = registry.calls();
     registry.publish(text(2, vec![web(), route("new", Kind::Unsafe)]));
@@ -176,9 +177,10 @@
     assert!(calls < 12, "{calls} calls for one text");
 }
 
-/// A route that was published seconds ago is refused with 404 by every entry. The connections of
-/// all their calls to the registry went silent, new ones work. Each awaits changes of the text for
-/// half a minute, since the others would tell it; none of them hears any.
+/// Guards against every entry answering 404 for a route that was published seconds ago. The
+/// connections of all their registry calls hang, while new connections work. If each entry relied
+/// on its peers to announce a text and waited for its own watch for half a minute, none would
+/// receive it.
 #[ntex::test]
 async fn a_text_is_received_while_all_watches_hang() {
     let registry = Registry::open().await;
@@ -193,7 +195,7 @@
     for entry in &entries {
         until_ready(entry).await;
     }
-    // They know of each other, and all wait for changes.
+    // By now all entries know each other and wait for changes.
     tokio::time::sleep(Duration::from_secs(4)).await;
     registry.lose_calls();
     tokio::time::sleep(Duration::from_secs(3)).await;
