--- a/crates/gateway/tests/registry_restore.rs
+++ b/crates/gateway/tests/registry_restore.rs
@@ -1,4 +1,4 @@
-//! A registry that comes back from an older copy: revisions go back and are given out again.
+//! A registry that is restored from an older copy: its revisions go back and are assigned again.
 
 mod support;
 
@@ -12,10 +12,10 @@
 use support::{eventually, route, text, unready, until_ready};
 use yare::parameterized;
 
-/// How long it is away.
+/// Duration of the outage before the restore.
 const OUTAGE: Duration = Duration::from_millis(400);
 
-/// Within which all entries must know what it tells anew.
+/// Maximum time until all entries apply what the registry announces.
 const PROPAGATION: Duration = Duration::from_secs(1);
 
 async fn target(name: &str) -> Standin {
@@ -45,7 +45,7 @@
     Request::new("POST", "/web/x").body("b").send(entry.callers()).await.status
 }
 
-/// Asks each entry until its requests reach a target.
+/// Sends requests to each entry until one of them reaches the target.
 async fn until_used(fleet: &[Gateway], target: &Standin) {
     for entry in fleet {
         let before = target.seen().len();
@@ -57,7 +57,8 @@
     }
 }
 
-/// Takes the registry away, brings it back from a copy, and lets `write` write before anyone reads.
+/// Makes the registry unavailable, restores it from a copy, and runs `write` before it answers
+/// again.
 async fn restore(
     registry: &Registry,
     copy: fireflyhoist_standin::registry::Copy,
@@ -70,7 +71,7 @@
     registry.set_mood(Mood::Well);
 }
 
-/// Guards against a list, and changes, of a restored registry being taken for old ones.
+/// Guards against the list and the changes of a restored registry being ignored as outdated.
 #[parameterized(
     one_entry = { 1, 0 },
     three_entries = { 3, 0 },
@@ -105,7 +106,8 @@
     assert!(new.seen().len() >= before + entries, "{} more requests", new.seen().len() - before);
 }
 
-/// Guards against a target that said that it drains, or that left, coming back by a restored list.
+/// Guards against a target that announced that it drains, or that was removed, being used again
+/// because a restored list contains it.
 #[parameterized(drains = { true }, removed = { false })]
 #[test_macro(ntex::test)]
 async fn targets_removed_after_the_copy_stay_removed(drains: bool) {
@@ -120,7 +122,7 @@
         true => registry.put(gone.draining()),
         false => registry.remove(&gone.listed),
     }
-    // The wait covers the time in which a leaving must be known.
+    // Entries must have applied the removal by the end of this wait.
     tokio::time::sleep(PROPAGATION).await;
     let before = gone.seen().len();
     restore(&registry, copy, || {}).await;
@@ -131,8 +133,8 @@
     assert_eq!(gone.seen().len(), before);
 }
 
-/// Guards against a target of the lost seconds being cut off before it has written again, and against
-/// one that does not being used for good.
+/// Guards against targets that are missing from the copy being removed before they have renewed
+/// their leases, and against those that do not renew them being used forever.
 #[ntex::test]
 async fn targets_missing_from_the_copy_get_a_grace_period() {
     let registry = Registry::open().await;
@@ -154,7 +156,7 @@
     assert_eq!(lost.seen().len(), before);
 }
 
-/// Guards against an entry that starts believing what others know from before.
+/// Guards against a starting entry trusting the state that its peers have from before the restore.
 #[ntex::test]
 async fn an_entry_started_after_a_restore_uses_the_new_list() {
     let registry = Registry::open().await;
@@ -175,7 +177,8 @@
     until_used(&fleet, &new).await;
 }
 
-/// Guards against a registry that says nothing of its era, or an earlier one, being believed never again.
+/// Guards against a registry being ignored forever after a restore because it reports no era or an
+/// earlier one.
 #[parameterized(reports_none = { true }, era_falls = { false })]
 #[test_macro(ntex::test)]
 async fn a_registry_that_goes_back_without_a_new_era_is_read_in_full(no_era: bool) {
@@ -192,7 +195,8 @@
         registry.put(fireflyhoist_policy::lease::Target { renewal, ..old.listed.clone() });
     }
     until_used(&fleet, &old).await;
-    // It has read past what is given out again; otherwise nothing shows.
+    // The entry must have read past the revisions that are assigned again, otherwise the test shows
+    // nothing.
     tokio::time::sleep(PROPAGATION).await;
     restore(&registry, copy, || {
         registry.set_era(3);
@@ -203,7 +207,7 @@
     until_used(&fleet, &new).await;
 }
 
-/// Guards against a text in force going back to that of the copy.
+/// Guards against the text in force being replaced by the older one of the copy.
 #[ntex::test]
 async fn a_restore_does_not_revert_the_text() {
     let registry = Registry::open().await;
--- a/crates/gateway/tests/requests.rs
+++ b/crates/gateway/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What reaches a target, and what must not.
+//! Which requests are forwarded to a target, in which form, and for how long.
 
 mod support;
 
@@ -23,9 +23,9 @@
     (registry, target, gateway)
 }
 
-/// A caller forges what only the system may say and runs under another workspace's name, ahead of
-/// everyone, or holds an engine's memory. Whatever it sent is replaced or left out; its key stays
-/// with the entry.
+/// Guards against a caller that sets headers reserved to the system: it would run in the name of
+/// another workspace, ahead of other requests, or pin the memory of an engine. Such headers are
+/// replaced or removed, and the caller's key is not forwarded.
 #[ntex::test]
 async fn reserved_headers_of_callers_are_replaced() {
     let (_registry, target, gateway) =
@@ -53,8 +53,9 @@
     }
 }
 
-/// A page stands still for a second in its middle: an engine that was full stopped it to begin a
-/// request of a better rank, and read it anew afterwards. Engines are told the same urgency of all.
+/// Guards against an engine that preempts running streams. If engines received the rank of a
+/// request as its urgency, a full engine would stop a stream for a second to start a request of a
+/// better rank and recompute its prompt afterwards. Every request is sent with the same urgency.
 #[ntex::test]
 async fn engines_receive_one_urgency_for_every_rank() {
     let mut urgencies = Vec::new();
@@ -69,8 +70,8 @@
     assert_eq!(urgencies[0], urgencies[1]);
 }
 
-/// A second request hides in the body of the first, or behind it, and runs at a target under
-/// somebody else's name: the two ends disagree on where the body ends.
+/// Guards against request smuggling: if both ends disagree on where a body ends, a second request
+/// hidden in or behind it runs at a target in somebody else's name.
 #[parameterized(
     both_framings = { "content-length: 4\r\ntransfer-encoding: chunked", "0\r\n\r\n" },
     two_lengths = { "content-length: 4\r\ncontent-length: 40", "abcd" },
@@ -91,7 +92,7 @@
     assert!(target.seen().is_empty(), "{:?}", target.seen());
 }
 
-/// A body that comes in chunks goes on whole, with a length of its own.
+/// A chunked body is forwarded complete, with a `content-length`.
 #[ntex::test]
 async fn a_chunked_body_is_forwarded_whole() {
     let (_registry, target, gateway) =
@@ -104,7 +105,8 @@
     assert_eq!((seen.body.as_str(), seen.header("content-length")), ("abcde", Some("5")));
 }
 
-/// A target works on for a caller that has long given up: it was told of more time than is left.
+/// Guards against a target that keeps working after its caller has timed out because it was sent a
+/// longer timeout than the time left.
 #[ntex::test]
 async fn a_target_receives_the_remaining_time() {
     let mut slow = route("web", Kind::Unsafe);
@@ -118,8 +120,8 @@
     assert!(left <= 800, "{left}");
 }
 
-/// A caller waits on although its route promised an end: its target is mute. At the route's timeout
-/// it is told, and told that nobody knows whether the request ran.
+/// Guards against a caller waiting past the timeout of its route for a target that does not
+/// respond. The entry answers 504 and says that it is unknown whether the request ran.
 #[ntex::test]
 async fn an_unresponsive_target_is_answered_for_at_the_route_timeout() {
     let mut short = route("web", Kind::Unsafe);
@@ -132,8 +134,9 @@
     eventually(async || !target.closed().is_empty()).await;
 }
 
-/// A member closes the page and an engine goes on generating for nobody: the entry reads the answer
-/// to its end. The target's connection closes as soon as the caller's does.
+/// Guards against an engine that keeps generating after its caller has disconnected because the
+/// entry reads the answer to its end. The entry must close its connection to the target as soon as
+/// the caller closes its own.
 #[parameterized(
     plain = { Kind::Unsafe },
     idempotent = { Kind::Safe },
@@ -155,7 +158,7 @@
     );
 }
 
-/// A caller sends two requests on one connection; each gets its own answer, in order.
+/// A caller that sends two requests on one connection gets an answer to each.
 #[ntex::test]
 async fn a_connection_serves_several_requests() {
     let (_registry, _target, gateway) =
@@ -200,9 +203,9 @@
     (gateway, targets, registry)
 }
 
-/// A search page hangs on a target that went mute while another is free. The lookup may run twice,
-/// so half of its objective later it goes to the other target as well, and never to the mute one
-/// again.
+/// Guards against a lookup waiting for a target that has stopped responding while another is free.
+/// A lookup may run twice, so after half of its objective it is sent to the other target as well,
+/// and never again to the first.
 #[ntex::test]
 async fn a_lookup_at_an_unresponsive_target_is_hedged() {
     for _ in 0..6 {
@@ -214,8 +217,8 @@
     }
 }
 
-/// Targets slow down together, each lookup is sent twice, and the load that slowed them doubles: a
-/// second send draws on the budget that bounds repeats, also while the first is under way.
+/// Guards against hedging doubling the load of targets that slow down together. A hedge draws on
+/// the retry budget, also while the first attempt is in progress.
 #[ntex::test]
 async fn a_hedge_draws_on_the_retry_budget() {
     let (gateway, targets, _registry) = first_attempt_hangs(0.0).await;
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Every token once, in order and from one generation, whatever becomes of its engine.
+//! Streams deliver every token once, in order and from one generation, whatever happens to their
+//! engine.
 
 mod support;
 
@@ -39,7 +40,7 @@
     registry
 }
 
-/// The entry collects a page and hands it over at its end: a supervisor watches nothing arrive.
+/// Guards against an entry buffering a stream until its end instead of forwarding each event.
 #[ntex::test]
 async fn events_are_forwarded_as_they_arrive() {
     let registry = registry(STREAM).await;
@@ -60,9 +61,9 @@
     assert!(!received.contains("id: 2"), "{received}");
 }
 
-/// An engine ends in the middle of a page, and the page looks finished: a line of passengers is
-/// missing and nobody knows. What is broken off never ends like a whole answer, half an event is
-/// never shown, and no second answer is written into the first.
+/// Guards against a truncated stream looking complete when its engine crashes. It must not end like
+/// a complete answer, an incomplete event must not be delivered, and no second answer may be
+/// written into the first.
 #[ntex::test]
 async fn an_interrupted_stream_does_not_look_complete() {
     let registry = registry(STREAM).await;
@@ -79,8 +80,8 @@
     assert_eq!(answer.surplus, 0);
 }
 
-/// A village is mapped half and then never: the engine broke off, and the kind of request may be
-/// taken up by another. It goes on after the last event, within the answer that has begun.
+/// Guards against a resumable stream being lost when its engine fails: it is resumed at another
+/// engine after the last delivered event, within the same answer.
 #[ntex::test]
 async fn a_resumable_stream_resumes_at_another_engine() {
     let registry = registry(RESUMABLE).await;
@@ -99,7 +100,8 @@
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 6), true));
 }
 
-/// Guards against a refusal that says not run after an attempt that broke off and may have run.
+/// Guards against an answer that says that the request did not run although an earlier attempt was
+/// interrupted and may have run.
 #[ntex::test]
 async fn a_refusal_after_an_interrupted_run_does_not_say_that_none_ran() {
     let registry = registry(RESUMABLE).await;
@@ -118,9 +120,10 @@
     assert!(!answer.body.contains("\"ran\":\"no\""), "{answer:?}");
 }
 
-/// An engine is cut off, crashes and starts again under its name. The entry's connection to the run
-/// of before stays open and silent, and its caller would wait until its time is up. The newer start
-/// tells that the run is gone, so the answer goes on at another engine at once.
+/// Guards against a caller waiting until its timeout for a run that no longer exists. Its engine
+/// was disconnected, crashed and restarted under the same name, while the entry's connection to the
+/// earlier run stays open and silent. The newer start time shows that the run is lost, so the
+/// stream resumes at another engine at once.
 #[ntex::test]
 async fn a_stream_resumes_elsewhere_after_its_engine_restarted() {
     let registry = registry(RESUMABLE).await;
@@ -148,8 +151,8 @@
     assert!(answer.took < Duration::from_secs(3), "{:?}", answer.took);
 }
 
-/// An engine crashes in the middle of a long page. Another keeps a copy of it, made as it grew, and
-/// the page goes on from there: the caller sees each event once.
+/// After a crash in the middle of a long stream, the stream resumes from the copy that a backup
+/// engine received while it grew. The caller gets each event once.
 #[ntex::test]
 async fn a_stream_resumes_from_its_backup_copy() {
     let registry = registry(STREAM).await;
@@ -177,9 +180,10 @@
     assert_eq!(second.header("fireflyhoist-copy"), Some(format!("{backup}/r-1").as_str()));
 }
 
-/// An engine that is taken back: its page is copied while it goes on, stopped, and goes on at the
-/// engine that has the copy. Events that the first made meanwhile are not shown twice. A caller that
-/// had guessed a short answer loses it no more than others: guesses are often far off.
+/// Guards against losing a stream whose engine drains. Its memory is copied while it runs, then the
+/// run is stopped, and it resumes at the engine that has the copy. Events that the first engine
+/// produced in between are delivered once. A caller whose expected length was too short is treated
+/// alike, since such estimates are often far off.
 #[parameterized(
     as_expected = { "500" },
     longer_than_expected = { "10" },
@@ -207,7 +211,7 @@
                 (Some(copy), Some(last)) => {
                     assert!(copy.ends_with("/c-7"), "{copy}");
                     let last: u64 = last.parse().expect("a number");
-                    // The copy is a little older than what was delivered.
+                    // The copy is slightly older than the last delivered event.
                     run(last.saturating_sub(1).max(1), 60, stream_end())
                 }
                 _ => run(1, 500, stream_end()),
@@ -235,8 +239,8 @@
     assert_eq!(moves.load(Ordering::SeqCst), 2);
 }
 
-/// A full engine says that it has not run a page. The route allows one attempt, so the caller is
-/// told at once that nothing ran, and when to come back.
+/// A full engine declines a stream whose route allows one attempt: the caller learns at once that
+/// the request did not run, and when to retry.
 #[ntex::test]
 async fn a_declined_stream_is_refused_as_not_run() {
     let registry = Registry::open().await;
@@ -252,7 +256,7 @@
     assert_eq!(engine.seen().len(), 1);
 }
 
-/// A page that has begun passes its route's timeout: it is broken off there, visibly.
+/// A stream that exceeds the timeout of its route is cut off, and does not look complete.
 #[ntex::test]
 async fn a_stream_is_cut_at_the_route_timeout() {
     let registry = Registry::open().await;
@@ -267,9 +271,8 @@
     assert!(answer.took < Duration::from_millis(900), "{:?}", answer.took);
 }
 
-/// Engines fail in the middle of every answer, each answer is begun again and again, and the load
-/// keeps them failing. A run that begins anew counts as an attempt of its route, and draws on the
-/// budget that bounds repeats.
+/// Guards against engines that fail in the middle of every stream being kept failing by the load of
+/// repeated runs. A resumed run counts as an attempt of its route and draws on the retry budget.
 #[ntex::test]
 async fn resumed_runs_count_as_attempts_of_the_route() {
     let registry = registry(RESUMABLE).await;
@@ -289,9 +292,9 @@
     assert_eq!(engines.iter().map(|engine| engine.seen().len()).sum::<usize>(), 2);
 }
 
-/// A member closes a page that is half there, and its engine, which is between two tokens, goes on
-/// generating for nobody: nothing is written to the caller that could fail. The engine's connection
-/// closes as soon as the caller's does.
+/// Guards against an engine that keeps generating after its caller has disconnected between two
+/// events, when no write to the caller could fail. The entry must close its connection to the
+/// engine as soon as the caller closes its own.
 #[ntex::test]
 async fn a_caller_disconnecting_between_events_closes_the_connection_to_the_engine() {
     let registry = registry(STREAM).await;
@@ -317,23 +320,25 @@
     );
 }
 
-/// Who tells that an engine is taken back.
+/// The source of the notice that an engine drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Notice {
     Registry,
-    /// The engine's own report; the registry hangs.
+    /// The engine's own report; the registry does not respond.
     Report,
 }
 
-/// Plays a page at an engine that is taken back, of which one copy is made; `rest` answers the call
-/// that stops the run. Returns the caller's answer and all that both engines saw.
+/// Runs a stream at an engine that then drains; the copy of the running stream succeeds.
+/// `final_move` answers the call that stops the run and copies the rest, and `end` is the last step
+/// of the draining engine after its events. Returns the caller's answer and the requests that both
+/// engines received.
 async fn migrate_from_draining(
     notice: Notice,
     final_move: impl Fn() -> Vec<Step> + Clone + Send + Sync + 'static,
     end: Step,
 ) -> (support::caller::Answer, Vec<Seen>) {
     let leaving = Arc::new(parking_lot::Mutex::new(None::<String>));
-    // A registry that hangs is noticed within two seconds.
+    // An unresponsive registry is detected within two seconds.
     let event_count = if notice == Notice::Report { 160 } else { 40 };
     let registry = registry(STREAM).await;
     let mut engines = Vec::new();
@@ -356,7 +361,7 @@
                 return answer(200, "");
             }
             match (seen.header("fireflyhoist-copy"), seen.header("last-event-id")) {
-                // No copy was made as it grew.
+                // No backup copy was made while it grew.
                 (Some(copy), _) if copy.ends_with("/r-1") => declined(),
                 (Some(_), Some(last)) => {
                     run(last.parse::<u64>().expect("a number") + 1, event_count, stream_end())
@@ -388,9 +393,9 @@
     (answer, engines.iter().flat_map(Standin::seen).collect())
 }
 
-/// A volunteer scans a page again although its memory was safe: the engine that was taken back had
-/// copied it, and was gone when the run was to be stopped for the rest. The page goes on from the
-/// part, and the next engine reads what that lacks.
+/// Guards against recomputing a whole prompt although a copy exists: the draining engine had made a
+/// first copy and had ended before the run could be stopped and the rest copied. The stream resumes
+/// from the first copy, and the next engine recomputes what it lacks.
 #[ntex::test]
 async fn a_stream_resumes_from_a_partial_copy() {
     let (answer, seen) =
@@ -401,8 +406,8 @@
     assert!(!seen.iter().any(|seen| seen.line().starts_with("DELETE")));
 }
 
-/// Pages are refused by engines with room: copies of answers that ended while they were moved keep
-/// it for seconds. The engine is told that the copy is not needed.
+/// Guards against engines with free memory refusing streams because copies of streams that ended
+/// during their migration occupy it for seconds. The engine is told to free such a copy.
 #[ntex::test]
 async fn an_unused_copy_is_freed() {
     let (answer, seen) =
@@ -412,8 +417,9 @@
     assert!(freed, "{seen:?}");
 }
 
-/// Every page on an engine is cut two seconds after a notice that nobody could read: the registry
-/// was away while the engine was taken back. The engine says so itself, and is asked.
+/// Guards against every stream on an engine being cut two seconds after a notice that nobody could
+/// read because the registry was unavailable when the engine was drained. The entry asks engines
+/// for their own report, which says so too.
 #[ntex::test]
 async fn a_stream_migrates_on_the_report_of_its_engine() {
     let copied = || {
@@ -426,9 +432,10 @@
     assert!(copies.iter().any(|copy| copy.ends_with("/c-2")), "{copies:?}");
 }
 
-/// A page begins seconds late beside an engine that seemed empty: the memory of another page was on
-/// its way there, which only the engine knew. The entry that moves it counts it there from the
-/// first call on, so the new page waits at the entry and could still go elsewhere.
+/// Guards against a stream starting seconds late at an engine that seemed empty while the memory of
+/// another stream was being transferred to it, which only that engine knew. The entry that migrates
+/// the stream reserves its memory there from the first call on, so a new stream waits at the entry
+/// and can still be sent elsewhere.
 #[ntex::test]
 async fn memory_reserved_for_a_migration_is_not_given_to_a_new_stream() {
     const TRANSFER_TIME: Duration = Duration::from_millis(1_500);
@@ -451,7 +458,7 @@
     engines.iter().for_each(|engine| registry.put(engine.listed.clone()));
     let gateway = gateway(&registry).await;
     let callers = gateway.callers();
-    // One of them fills most of an engine.
+    // One of these streams fills most of an engine.
     let stream_request = || {
         Request::new("POST", "/gen/x")
             .header("fireflyhoist-prompt-tokens", "80000")
@@ -467,7 +474,7 @@
     eventually(async || source.seen().iter().any(moving)).await;
     ntex::rt::spawn(async move { stream_request().send(callers).await }).detach();
     tokio::time::sleep(TRANSFER_TIME / 2).await;
-    // The first page may have asked for a copy there that was not made.
+    // The first stream may have requested a backup copy there that was not made.
     let new = |seen: &Seen| seen.header("fireflyhoist-copy").is_none();
     assert!(!next.seen().iter().any(new), "{:?}", next.seen());
 }
--- a/crates/gateway/tests/targets.rs
+++ b/crates/gateway/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Where work goes while targets come, leave and fail.
+//! Which targets get requests while targets start, drain and fail.
 
 mod support;
 
@@ -20,8 +20,8 @@
     (registry, first, second)
 }
 
-/// A dispatch is cut as its replica is taken down: it had said that it drains, and new work still
-/// went there.
+/// Guards against new requests being sent to a target that has announced that it drains: they would
+/// be cut when its process ends.
 #[ntex::test]
 async fn a_draining_target_gets_no_new_requests() {
     let (registry, first, second) = two_targets().await;
@@ -37,8 +37,9 @@
     assert!(second.seen().len() >= 10);
 }
 
-/// A draining target is listed as ready again by an entry that was written before: work goes to a
-/// process that is about to end. What left never comes back under the same name.
+/// Guards against an outdated registry entry that lists a draining target as ready: requests would
+/// be sent to a process that is about to end. A target that has drained is never used again under
+/// the same name.
 #[ntex::test]
 async fn an_outdated_entry_does_not_restore_a_drained_target() {
     let (registry, first, _second) = two_targets().await;
@@ -52,8 +53,9 @@
     }
 }
 
-/// The registry loses entries of targets that live, since these could not renew them while it was
-/// down. Until they are back every request would be refused with all targets free.
+/// Guards against refusing every request with all targets free after an outage of the registry:
+/// leases expire although their targets live, because they could not be renewed during the outage.
+/// Such targets stay in use until they have had time to renew.
 #[ntex::test]
 async fn expired_targets_stay_in_use_after_a_registry_outage() {
     let (registry, first, second) = two_targets().await;
@@ -68,7 +70,7 @@
     let ask = async || Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
     assert_eq!(ask().await.status, 200);
     registry.put(second.listed.clone());
-    // The first stays away: it is gone.
+    // The first target does not renew its lease, so it is removed.
     eventually(async || {
         let mut bodies = Vec::new();
         for _ in 0..8 {
@@ -79,9 +81,9 @@
     .await;
 }
 
-/// A roster dispatch runs at a booking service: its replica ended, and the address now belongs to
-/// another. The instance that is meant goes along; whoever else answers declines, and it is sent to
-/// one that is meant.
+/// Guards against a request running at another service: its target has ended and the address
+/// belongs to another instance. The request names the instance that it is meant for; any other
+/// declines it, and it is sent to another target.
 #[ntex::test]
 async fn a_target_whose_address_was_reused_is_avoided() {
     let registry = Registry::open().await;
@@ -102,7 +104,7 @@
     assert!(other.seen().len() <= 1, "the other instance got more than one request");
 }
 
-/// A watch is cut or its history dropped: what changed meanwhile is read from the list.
+/// After a watch was cut off or its history dropped, the changes in between are read from the list.
 #[ntex::test]
 async fn the_list_is_read_again_after_a_dropped_history() {
     let (registry, first, second) = two_targets().await;
