--- a/crates/gateway/tests/registry_restore.rs
+++ b/crates/gateway/tests/registry_restore.rs
@@ -138,22 +138,22 @@
 #[ntex::test]
 async fn targets_missing_from_the_copy_get_a_grace_period() {
     let registry = Registry::open().await;
-    let (back, lost, other) = (target("t-1").await, target("t-2").await, target("t-3").await);
+    let (renewed, expired, other) = (target("t-1").await, target("t-2").await, target("t-3").await);
     registry.put(other.listed.clone());
     let copy = registry.copy();
     let fleet = fleet(&registry, 2).await;
-    registry.put(back.listed.clone());
-    registry.put(lost.listed.clone());
-    until_used(&fleet, &back).await;
-    until_used(&fleet, &lost).await;
+    registry.put(renewed.listed.clone());
+    registry.put(expired.listed.clone());
+    until_used(&fleet, &renewed).await;
+    until_used(&fleet, &expired).await;
     restore(&registry, copy, || {}).await;
     tokio::time::sleep(PROPAGATION).await;
-    until_used(&fleet, &back).await;
-    registry.put(fireflyhoist_policy::lease::Target { renewal: 2, ..back.listed.clone() });
+    until_used(&fleet, &renewed).await;
+    registry.put(fireflyhoist_policy::lease::Target { renewal: 2, ..renewed.listed.clone() });
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let before = lost.seen().len();
-    until_used(&fleet, &back).await;
-    assert_eq!(lost.seen().len(), before);
+    let before = expired.seen().len();
+    until_used(&fleet, &renewed).await;
+    assert_eq!(expired.seen().len(), before);
 }
 
 /// Guards against a starting entry trusting the state that its peers have from before the restore.
--- a/crates/gateway/tests/requests.rs
+++ b/crates/gateway/tests/requests.rs
@@ -134,9 +134,9 @@
     eventually(async || !target.closed().is_empty()).await;
 }
 
-/// Guards against an engine that keeps generating after its caller has disconnected because the
-/// entry reads the answer to its end. The entry must close its connection to the target as soon as
-/// the caller closes its own.
+/// Guards against an entry that reads an answer to its end after the caller has disconnected, so
+/// that the engine keeps generating it in vain. The entry must close its connection to the target
+/// as soon as the caller closes its own.
 #[parameterized(
     plain = { Kind::Unsafe },
     idempotent = { Kind::Safe },
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -407,7 +407,7 @@
 }
 
 /// Guards against engines with free memory refusing streams because copies of streams that ended
-/// during their migration occupy it for seconds. The engine is told to free such a copy.
+/// during their migration occupy it for seconds. Such a copy must be freed.
 #[ntex::test]
 async fn an_unused_copy_is_freed() {
     let (answer, seen) =
--- a/crates/gateway/tests/targets.rs
+++ b/crates/gateway/tests/targets.rs
@@ -38,8 +38,8 @@
 }
 
 /// Guards against an outdated registry entry that lists a draining target as ready: requests would
-/// be sent to a process that is about to end. A target that has drained is never used again under
-/// the same name.
+/// be sent to a process that is about to end. A target that has drained is not used again under the
+/// same name.
 #[ntex::test]
 async fn an_outdated_entry_does_not_restore_a_drained_target() {
     let (registry, first, _second) = two_targets().await;
--- a/crates/gateway/tests/texts.rs
+++ b/crates/gateway/tests/texts.rs
@@ -15,7 +15,7 @@
 }
 
 /// Guards against an entry that has just started and has no text yet answering 404 for routes that
-/// exist. It must answer 503, that the request did not run, and when to retry.
+/// exist. It must answer 503 and say that the request did not run and when to retry.
 #[ntex::test]
 async fn an_entry_without_a_text_answers_503() {
     let registry = Registry::open().await;
@@ -93,7 +93,8 @@
 }
 
 /// Guards against an entry not starting while the registry is down, as after a power loss of all
-/// hosts: it must get the text and the targets from peers that have them.
+/// hosts. It must get the text and the targets from peers that have them, and serve within a second
+/// or two.
 #[ntex::test]
 async fn an_entry_without_a_registry_starts_from_its_peers() {
     let registry = Registry::open().await;
@@ -121,8 +122,8 @@
 #[ntex::test]
 async fn a_draining_entry_is_not_listed() {
     let registry = Registry::open().await;
-    let page = route("gen", Kind::Stream { resumable: false });
-    registry.publish(text(3, vec![web(), page]));
+    let stream = route("gen", Kind::Stream { resumable: false });
+    registry.publish(text(3, vec![web(), stream]));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
     registry.put(target.listed.clone());
     let first = gateway(&registry).await;
