--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -36,7 +36,7 @@
 
 /// What an entry holds at one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Held {
+pub(crate) struct Load {
     /// The target.
     pub(crate) target: id::Target,
     /// Tokens of running answers there.
@@ -82,7 +82,8 @@
     /// How requests ended at targets that fail some, since its heartbeat before.
     pub(crate) endings: Vec<Ending>,
     /// What it answers for: all that it knows to be held, but for what the receiver told it.
-    pub(crate) held: Vec<Held>,
+    #[serde(rename = "held")]
+    pub(crate) loads: Vec<Load>,
 }
 
 /// What one entry decides for all.
@@ -190,7 +191,7 @@
     },
 }
 
-impl Held {
+impl Load {
     /// Nothing held.
     pub(crate) fn none(target: &id::Target) -> Self {
         let zero = Tokens::default();
@@ -207,10 +208,10 @@
 }
 
 /// Adds up what several entries hold, target by target.
-pub(crate) fn sum<'a>(held: impl Iterator<Item = &'a Held>) -> Vec<Held> {
-    let mut sums: BTreeMap<id::Target, Held> = BTreeMap::new();
+pub(crate) fn sum<'a>(held: impl Iterator<Item = &'a Load>) -> Vec<Load> {
+    let mut sums: BTreeMap<id::Target, Load> = BTreeMap::new();
     for one in held {
-        sums.entry(one.target.clone()).or_insert_with(|| Held::none(&one.target)).add(one);
+        sums.entry(one.target.clone()).or_insert_with(|| Load::none(&one.target)).add(one);
     }
     sums.into_values().collect()
 }
--- a/crates/gateway/src/process/fleet/beat.rs
+++ b/crates/gateway/src/process/fleet/beat.rs
@@ -7,7 +7,7 @@
 use fireflyhoist_policy::observation::Observer;
 use ntex::time::sleep;
 
-use crate::connection::frame::{Beat, Ending, Frame, Held};
+use crate::connection::frame::{Beat, Ending, Frame, Load};
 use crate::process::fleet::Fleet;
 
 impl Fleet {
@@ -17,7 +17,7 @@
         self.beat_to_leaves();
     }
 
-    fn own_beat(&self, held: Vec<Held>) -> Beat {
+    fn own_beat(&self, held: Vec<Load>) -> Beat {
         Beat {
             follows: false,
             endings: Vec::new(),
@@ -27,7 +27,7 @@
             cordons: self.process.cordon_news(),
             registry: self.process.registry_works(),
             watching: self.process.is_watching(),
-            held,
+            loads: held,
         }
     }
 
@@ -119,7 +119,7 @@
         if let Some(word) = &beat.cordons {
             self.process.hear_cordons(word.clone());
         }
-        if self.process.set_other(from, Some(beat.held.clone())) {
+        if self.process.set_other(from, Some(beat.loads.clone())) {
             self.process.report();
         }
         let mut peers = self.peers.lock();
--- a/crates/gateway/src/process/state/holdings.rs
+++ b/crates/gateway/src/process/state/holdings.rs
@@ -7,7 +7,7 @@
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::unit::Tokens;
 
-use crate::connection::frame::{Held, sum};
+use crate::connection::frame::{Load, sum};
 use crate::process::lane::{Lane, View};
 use crate::process::state::Process;
 
@@ -23,21 +23,21 @@
     }
 
     /// What this entry holds at each target.
-    pub(crate) fn held(&self) -> Vec<Held> {
+    pub(crate) fn held(&self) -> Vec<Load> {
         let lanes: Vec<Arc<Lane>> = self.lanes.read().values().cloned().collect();
-        let mut held: Vec<Held> = Vec::new();
+        let mut held: Vec<Load> = Vec::new();
         for holding in lanes.iter().flat_map(|lane| lane.holdings()) {
             let Holding { target, tokens, streams, unread } = holding;
-            held.push(Held { target, tokens, streams, unread, copies: Tokens::default() });
+            held.push(Load { target, tokens, streams, unread, copies: Tokens::default() });
         }
         for (target, tokens) in self.copies.lock().iter() {
-            held.push(Held { copies: Tokens::new(*tokens), ..Held::none(target) });
+            held.push(Load { copies: Tokens::new(*tokens), ..Load::none(target) });
         }
         sum(held.iter())
     }
 
     /// What this entry and those that `with` picks of the others hold.
-    pub(crate) fn held_with(&self, with: impl Fn(&id::Host) -> bool) -> Vec<Held> {
+    pub(crate) fn held_with(&self, with: impl Fn(&id::Host) -> bool) -> Vec<Load> {
         let own = self.held();
         let others = self.others.lock();
         let picked = others.iter().filter(|(host, _)| with(host)).flat_map(|(_, held)| held);
@@ -45,7 +45,7 @@
     }
 
     /// Takes in what another entry holds, `None` where it is gone; returns whether that is new.
-    pub(crate) fn set_other(&self, host: &id::Host, held: Option<Vec<Held>>) -> bool {
+    pub(crate) fn set_other(&self, host: &id::Host, held: Option<Vec<Load>>) -> bool {
         let mut others = self.others.lock();
         if others.get(host) == held.as_ref() {
             return false;
@@ -105,7 +105,7 @@
 }
 
 impl Sum {
-    fn add(&mut self, held: &Held) {
+    fn add(&mut self, held: &Load) {
         self.tokens += held.tokens.get() + held.copies.get();
         self.streams += held.streams;
     }
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -27,7 +27,7 @@
 use parking_lot::{Mutex, RwLock};
 use tokio::sync::{Notify, watch};
 
-use crate::connection::frame::Held;
+use crate::connection::frame::Load;
 use crate::process::clock::Clock;
 use crate::process::lane::Lane;
 use crate::process::metrics::Metrics;
@@ -80,7 +80,7 @@
     /// What may still be sent to those, where this entry decides.
     keeper: Mutex<Buckets>,
     /// What other entries hold, by entry.
-    others: Mutex<HashMap<id::Host, Vec<Held>>>,
+    others: Mutex<HashMap<id::Host, Vec<Load>>>,
     /// Changes whenever targets do, so that running answers look whether theirs leaves.
     targets: watch::Sender<u64>,
     /// Wakes the heartbeats when a generation was sent.
