--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -51,7 +51,7 @@
 
 /// How a request ended at a target, as far as others need to know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Ending {
+pub(crate) struct TargetOutcome {
     /// The target's service.
     pub(crate) service: id::Service,
     /// The target.
@@ -80,7 +80,8 @@
     /// Whether the receiver is the one that tells it of each change of targets.
     pub(crate) follows: bool,
     /// How requests ended at targets that fail some, since its heartbeat before.
-    pub(crate) endings: Vec<Ending>,
+    #[serde(rename = "endings")]
+    pub(crate) outcomes: Vec<TargetOutcome>,
     /// What it answers for: all that it knows to be held, but for what the receiver told it.
     #[serde(rename = "held")]
     pub(crate) loads: Vec<Load>,
--- a/crates/gateway/src/process/fleet/beat.rs
+++ b/crates/gateway/src/process/fleet/beat.rs
@@ -7,7 +7,7 @@
 use fireflyhoist_policy::observation::Observer;
 use ntex::time::sleep;
 
-use crate::connection::frame::{Beat, Ending, Frame, Load};
+use crate::connection::frame::{Beat, Frame, Load, TargetOutcome};
 use crate::process::fleet::Fleet;
 
 impl Fleet {
@@ -20,7 +20,7 @@
     fn own_beat(&self, held: Vec<Load>) -> Beat {
         Beat {
             follows: false,
-            endings: Vec::new(),
+            outcomes: Vec::new(),
             ready: self.process.is_ready(),
             text: self.process.revision(),
             targets: self.process.listed_position(),
@@ -40,7 +40,7 @@
         if self.is_active() {
             // What leaves hold goes along; what other actives hold they tell themselves.
             let held = self.process.held_with(|host| !view.actives.contains(host));
-            let beat = Beat { endings, ..self.own_beat(held) };
+            let beat = Beat { outcomes: endings, ..self.own_beat(held) };
             self.links.send_all(actives.iter(), &Frame::Beat(beat));
             return;
         }
@@ -51,7 +51,7 @@
             let held = if Some(active) == primary { self.process.held() } else { Vec::new() };
             let follows = Some(active) == lead.as_ref();
             let endings = endings.clone();
-            let beat = Beat { follows, endings, ..self.own_beat(held) };
+            let beat = Beat { follows, outcomes: endings, ..self.own_beat(held) };
             self.links.send(active, &Frame::Beat(beat));
         }
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    fn hear_endings(&self, from: &id::Host, endings: Vec<Ending>) {
+    fn hear_endings(&self, from: &id::Host, endings: Vec<TargetOutcome>) {
         if endings.is_empty() {
             return;
         }
@@ -115,7 +115,7 @@
 
     pub(super) fn take_beat(&self, from: &id::Host, mut beat: Beat) {
         self.follow(from, &beat);
-        self.hear_endings(from, std::mem::take(&mut beat.endings));
+        self.hear_endings(from, std::mem::take(&mut beat.outcomes));
         if let Some(word) = &beat.cordons {
             self.process.hear_cordons(word.clone());
         }
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -10,7 +10,7 @@
 use fireflyhoist_policy::position::Position;
 use tokio::sync::watch;
 
-use crate::connection::frame::Ending;
+use crate::connection::frame::TargetOutcome;
 use crate::process::lane::Lane;
 use crate::process::state::Process;
 
@@ -26,19 +26,22 @@
     }
 
     /// How requests ended at targets, as far as other entries should hear of it.
-    pub(crate) fn take_endings(&self) -> Vec<Ending> {
+    pub(crate) fn take_endings(&self) -> Vec<TargetOutcome> {
         let lanes = self.lanes.read();
         let of = |(service, lane): (&id::Service, &Arc<Lane>)| {
             let service = service.clone();
-            let ending =
-                move |(target, outcome)| Ending { service: service.clone(), target, outcome };
+            let ending = move |(target, outcome)| TargetOutcome {
+                service: service.clone(),
+                target,
+                outcome,
+            };
             lane.take_endings().into_iter().map(ending)
         };
         lanes.iter().flat_map(of).collect()
     }
 
     /// Takes in how requests of another entry ended.
-    pub(crate) fn hear_endings(&self, from: &Observer, endings: Vec<Ending>) {
+    pub(crate) fn hear_endings(&self, from: &Observer, endings: Vec<TargetOutcome>) {
         let lanes = self.lanes.read();
         for ending in endings {
             if let Some(lane) = lanes.get(&ending.service) {
