--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -62,7 +62,7 @@
 
 /// What an entry says several times a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Beat {
+pub(crate) struct Heartbeat {
     /// Whether it takes new callers.
     pub(crate) ready: bool,
     /// The revision of the text in force there; 0 before the first.
@@ -74,7 +74,8 @@
     #[serde(default)]
     pub(crate) cordons: Option<cordon::Update>,
     /// Whether its latest call of the registry succeeded.
-    pub(crate) registry: bool,
+    #[serde(rename = "registry")]
+    pub(crate) registry_up: bool,
     /// Whether it hears of targets from the registry just now.
     pub(crate) watching: bool,
     /// Whether the receiver is the one that tells it of each change of targets.
@@ -119,7 +120,8 @@
     /// Please send the whole list of who is alive.
     WantAlive,
     /// The sender's state; it shows too that the link works.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// About texts and their sections.
     Text(Message),
     /// Please send all targets.
@@ -236,7 +238,7 @@
         match self {
             Self::Hello(_) => "hello",
             Self::Alive(_) | Self::WantAlive => "alive",
-            Self::Beat(_) => "beat",
+            Self::Heartbeat(_) => "beat",
             Self::Text(_) => "text",
             Self::WantTargets | Self::Targets { .. } => "targets",
             Self::Changes { .. } => "changes",
@@ -275,6 +277,9 @@
     /// Whether it is one of those that make up most bytes of a large fleet, several times a second,
     /// and that name the same fields over and over.
     fn is_repetitive(&self) -> bool {
-        matches!(self, Self::Alive(_) | Self::Beat(_) | Self::Changes { .. } | Self::Targets { .. })
+        matches!(
+            self,
+            Self::Alive(_) | Self::Heartbeat(_) | Self::Changes { .. } | Self::Targets { .. }
+        )
     }
 }
--- a/crates/gateway/src/process/fleet/beat.rs
+++ b/crates/gateway/src/process/fleet/beat.rs
@@ -7,7 +7,7 @@
 use fireflyhoist_policy::observation::Observer;
 use ntex::time::sleep;
 
-use crate::connection::frame::{Beat, Frame, Load, TargetOutcome};
+use crate::connection::frame::{Frame, Heartbeat, Load, TargetOutcome};
 use crate::process::fleet::Fleet;
 
 impl Fleet {
@@ -17,15 +17,15 @@
         self.beat_to_leaves();
     }
 
-    fn own_beat(&self, held: Vec<Load>) -> Beat {
-        Beat {
+    fn own_beat(&self, held: Vec<Load>) -> Heartbeat {
+        Heartbeat {
             follows: false,
             outcomes: Vec::new(),
             ready: self.process.is_ready(),
             text: self.process.revision(),
             targets: self.process.listed_position(),
             cordons: self.process.cordon_news(),
-            registry: self.process.registry_works(),
+            registry_up: self.process.registry_works(),
             watching: self.process.is_watching(),
             loads: held,
         }
@@ -40,8 +40,8 @@
         if self.is_active() {
             // What leaves hold goes along; what other actives hold they tell themselves.
             let held = self.process.held_with(|host| !view.actives.contains(host));
-            let beat = Beat { outcomes: endings, ..self.own_beat(held) };
-            self.links.send_all(actives.iter(), &Frame::Beat(beat));
+            let beat = Heartbeat { outcomes: endings, ..self.own_beat(held) };
+            self.links.send_all(actives.iter(), &Frame::Heartbeat(beat));
             return;
         }
         let primary = view.links.first().map(|member| &member.host);
@@ -51,8 +51,8 @@
             let held = if Some(active) == primary { self.process.held() } else { Vec::new() };
             let follows = Some(active) == lead.as_ref();
             let endings = endings.clone();
-            let beat = Beat { follows, outcomes: endings, ..self.own_beat(held) };
-            self.links.send(active, &Frame::Beat(beat));
+            let beat = Heartbeat { follows, outcomes: endings, ..self.own_beat(held) };
+            self.links.send(active, &Frame::Heartbeat(beat));
         }
     }
 
@@ -67,18 +67,18 @@
     /// Tells an entry this one's state as soon as their link is open.
     pub(super) fn beat_first(&self, to: &id::Host) {
         let cordons = self.process.cordon_word();
-        let beat = Beat { cordons, ..self.own_beat(Vec::new()) };
-        self.links.send(to, &Frame::Beat(beat));
+        let beat = Heartbeat { cordons, ..self.own_beat(Vec::new()) };
+        self.links.send(to, &Frame::Heartbeat(beat));
     }
 
     fn beat_to_leaves(&self) {
         let (_, leaves) = self.parted();
         let (busy, idle): (Vec<id::Host>, Vec<id::Host>) =
             leaves.into_iter().partition(|leaf| self.process.holds(leaf));
-        self.links.send_all(idle.iter(), &Frame::Beat(self.own_beat(Vec::new())));
+        self.links.send_all(idle.iter(), &Frame::Heartbeat(self.own_beat(Vec::new())));
         for leaf in &busy {
             let held = self.process.held_with(|host| host != leaf);
-            self.links.send(leaf, &Frame::Beat(self.own_beat(held)));
+            self.links.send(leaf, &Frame::Heartbeat(self.own_beat(held)));
         }
     }
 
@@ -113,7 +113,7 @@
         self.process.hear_endings(&Observer { host: from.clone(), domain }, endings);
     }
 
-    pub(super) fn take_beat(&self, from: &id::Host, mut beat: Beat) {
+    pub(super) fn take_beat(&self, from: &id::Host, mut beat: Heartbeat) {
         self.follow(from, &beat);
         self.hear_endings(from, std::mem::take(&mut beat.outcomes));
         if let Some(word) = &beat.cordons {
@@ -124,7 +124,8 @@
         }
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(from) else { return };
-        let differs = |old: &Beat| old.registry != beat.registry || old.ready != beat.ready;
+        let differs =
+            |old: &Heartbeat| old.registry_up != beat.registry_up || old.ready != beat.ready;
         let news = peer.beat.as_ref().is_none_or(differs);
         let before = peer.beat.take().and_then(|old| old.cordons);
         beat.cordons = beat.cordons.or(before);
--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -19,7 +19,7 @@
 use fireflyhoist_policy::version::{Stamp, Version};
 use fireflyhoist_text::transfer::{Message, Next};
 
-use crate::connection::frame::{Beat, Frame};
+use crate::connection::frame::{Frame, Heartbeat};
 use crate::process::fleet::Fleet;
 use crate::version::source;
 
@@ -55,7 +55,7 @@
 
 impl Fleet {
     /// Asks a peer for what it has and this entry lacks.
-    pub(super) fn follow(&self, from: &id::Host, beat: &Beat) {
+    pub(super) fn follow(&self, from: &id::Host, beat: &Heartbeat) {
         let (text, targets) = (self.process.revision(), self.process.listed_position());
         let (wants_text, wants_targets) = (beat.text > text, beat.targets > targets);
         let Some((text_late, targets_late)) = self.late(from, wants_text, wants_targets) else {
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -37,7 +37,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, mpsc};
 
-use crate::connection::frame::{Beat, Frame};
+use crate::connection::frame::{Frame, Heartbeat};
 use crate::connection::link::{Event, Links, Loss};
 use crate::process::fleet::catchup::{Ahead, Encoded};
 use crate::process::fleet::grant::Questions;
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 struct Peer {
     member: Member,
-    beat: Option<Beat>,
+    beat: Option<Heartbeat>,
     /// Since when it has a newer text.
     text: Ahead,
     /// Since when it knows more of the targets.
@@ -170,7 +170,7 @@
     pub(crate) fn watcher(&self) -> Option<usize> {
         let view = self.view();
         let peers = self.peers.lock();
-        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry);
+        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry_up);
         let active = |peer: &&Peer| view.actives.contains(&peer.member.host);
         let mut hosts: Vec<id::Host> =
             peers.values().filter(active).filter(works).map(|p| p.member.host.clone()).collect();
@@ -218,7 +218,7 @@
     /// Whether enough peers would tell of a text that this entry misses.
     pub(crate) fn is_covered(&self) -> bool {
         let peers = self.peers.lock();
-        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry);
+        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry_up);
         peers.values().filter(works).count() >= 2
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// What linked entries can tell this one, of something that `has` finds in their heartbeats.
-    pub(crate) fn peers(&self, has: impl Fn(&Beat) -> bool) -> Peers {
+    pub(crate) fn peers(&self, has: impl Fn(&Heartbeat) -> bool) -> Peers {
         let peers = self.peers.lock();
         if peers.is_empty() {
             return Peers::None;
@@ -420,7 +420,7 @@
             Frame::Hello(_) => {}
             Frame::Alive(update) => self.take_alive(from, update),
             Frame::WantAlive => self.tell_alive(from),
-            Frame::Beat(beat) => self.take_beat(from, beat),
+            Frame::Heartbeat(beat) => self.take_beat(from, beat),
             Frame::Text(message) => self.take_message(from, message),
             Frame::WantTargets => self.send_targets(from),
             Frame::Poison(records) => self.take_poison(from, records),
