--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -90,22 +90,24 @@
 
 /// What one entry decides for all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Question {
+pub(crate) enum Permit {
     /// May a request that is held back be tried? With what the sender knows of it.
     Trial(poison::Record),
     /// May a request be sent to a target that names a limit? With what the sender knows of it.
-    Send(target_limit::Update),
+    #[serde(rename = "Send")]
+    LimitedSend(target_limit::Update),
     /// May a request be sent to a target that is cold? With what the sender knows of it.
-    Cold(cold::Update),
+    #[serde(rename = "Cold")]
+    ColdSend(cold::Update),
 }
 
-impl Question {
+impl Permit {
     /// What decides which entry answers.
     pub(crate) fn key(&self) -> String {
         match self {
             Self::Trial(record) => record.fingerprint.to_string(),
-            Self::Send(word) => word.target.to_string(),
-            Self::Cold(word) => word.target.to_string(),
+            Self::LimitedSend(update) => update.target.to_string(),
+            Self::ColdSend(update) => update.target.to_string(),
         }
     }
 }
@@ -154,15 +156,17 @@
     /// Limits that targets named, as far as that is news.
     Limits(Vec<target_limit::Update>),
     /// A request was sent to a target that names a limit without asking for leave.
-    Spent(target_limit::Update),
+    #[serde(rename = "Spent")]
+    LimitedSend(target_limit::Update),
     /// A request was sent to a target that is cold without asking for leave.
-    SpentCold(cold::Update),
+    #[serde(rename = "SpentCold")]
+    ColdSend(cold::Update),
     /// Something that the receiver decides for all entries.
     Ask {
         /// The sender's number for the question.
         ask: u64,
         /// What is asked.
-        question: Question,
+        question: Permit,
     },
     /// The answer to a question.
     Answer {
@@ -244,7 +248,7 @@
             Self::Changes { .. } => "changes",
             Self::Refused { .. } => "refused",
             Self::Poison(_) => "poison",
-            Self::Limits(_) | Self::Spent(_) | Self::SpentCold(_) => "limits",
+            Self::Limits(_) | Self::LimitedSend(_) | Self::ColdSend(_) => "limits",
             Self::Ask { .. } | Self::Answer { .. } => "question",
             Self::TurnAsk { .. } | Self::Turn { .. } | Self::TurnDone { .. } => "turn",
         }
--- a/crates/gateway/src/process/fleet/grant.rs
+++ b/crates/gateway/src/process/fleet/grant.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
-use crate::connection::frame::{Frame, Question};
+use crate::connection::frame::{Frame, Permit};
 use crate::process::fleet::Fleet;
 use crate::process::state::millis;
 
@@ -62,7 +62,7 @@
 
 impl Fleet {
     /// Asks the entry that decides; `Some` says how long to wait instead.
-    pub(crate) async fn ask(&self, question: Question, within: Duration) -> Option<Duration> {
+    pub(crate) async fn ask(&self, question: Permit, within: Duration) -> Option<Duration> {
         let keeper = self.keeper(&question.key());
         if keeper == *self.host() {
             return self.decide(&question);
@@ -83,7 +83,7 @@
     }
 
     /// Answers another entry's question, or passes a leaf's on to the entry that decides.
-    pub(super) fn take_question(&self, from: &id::Host, ask: u64, question: Question) {
+    pub(super) fn take_question(&self, from: &id::Host, ask: u64, question: Permit) {
         let keeper = self.keeper(&question.key());
         let leaf = !self.view().actives.contains(from);
         if leaf && keeper != *self.host() {
@@ -92,9 +92,9 @@
             return;
         }
         match &question {
-            Question::Trial(record) => self.take_poison(from, vec![record.clone()]),
-            Question::Send(word) => self.take_limits(from, vec![word.clone()]),
-            Question::Cold(word) => self.process.hear_cold(word),
+            Permit::Trial(record) => self.take_poison(from, vec![record.clone()]),
+            Permit::LimitedSend(word) => self.take_limits(from, vec![word.clone()]),
+            Permit::ColdSend(word) => self.process.hear_cold(word),
         }
         let wait = self.decide(&question);
         self.links.send(from, &Frame::Answer { ask, wait_ms: wait.map(millis) });
@@ -113,14 +113,14 @@
         }
     }
 
-    fn decide(&self, question: &Question) -> Option<Duration> {
+    fn decide(&self, question: &Permit) -> Option<Duration> {
         match question {
-            Question::Trial(record) => match self.process.try_trial(record.fingerprint) {
+            Permit::Trial(record) => match self.process.try_trial(record.fingerprint) {
                 Decision::Allow | Decision::Trial => None,
                 Decision::Refuse(wait) => Some(wait),
             },
-            Question::Send(word) => self.process.try_send(&word.target),
-            Question::Cold(word) => self.process.try_send(&word.target),
+            Permit::LimitedSend(word) => self.process.try_send(&word.target),
+            Permit::ColdSend(word) => self.process.try_send(&word.target),
         }
     }
 }
--- a/crates/gateway/src/process/fleet/intake.rs
+++ b/crates/gateway/src/process/fleet/intake.rs
@@ -3,7 +3,7 @@
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::target_limit::Update;
 
-use crate::connection::frame::{Frame, Question};
+use crate::connection::frame::{Frame, Permit};
 use crate::process::fleet::Fleet;
 
 impl Fleet {
@@ -43,9 +43,9 @@
     /// Counts a request that is sent to a target in any case, where that takes only so much.
     pub(crate) fn spend(&self, target: &id::Target) {
         let frame = match self.process.question(target) {
-            Some(Question::Cold(word)) => Frame::SpentCold(word),
-            Some(Question::Send(word)) => Frame::Spent(word),
-            Some(Question::Trial(_)) | None => return,
+            Some(Permit::ColdSend(word)) => Frame::ColdSend(word),
+            Some(Permit::LimitedSend(word)) => Frame::LimitedSend(word),
+            Some(Permit::Trial(_)) | None => return,
         };
         self.tell(&self.keeper(target.as_str()), &frame);
     }
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -425,10 +425,12 @@
             Frame::WantTargets => self.send_targets(from),
             Frame::Poison(records) => self.take_poison(from, records),
             Frame::Limits(words) => self.take_limits(from, words),
-            Frame::Spent(word) => self.take_spent(from, word.target.clone(), Frame::Spent(word)),
-            Frame::SpentCold(word) => {
+            Frame::LimitedSend(word) => {
+                self.take_spent(from, word.target.clone(), Frame::LimitedSend(word))
+            }
+            Frame::ColdSend(word) => {
                 self.process.hear_cold(&word);
-                self.take_spent(from, word.target.clone(), Frame::SpentCold(word));
+                self.take_spent(from, word.target.clone(), Frame::ColdSend(word));
             }
             Frame::Ask { ask, question } => self.take_question(from, ask, question),
             Frame::Answer { ask, wait_ms } => self.take_answer(ask, wait_ms),
--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -9,7 +9,7 @@
 use fireflyhoist_policy::time::Time;
 use fireflyhoist_policy::token_bucket::Allowance;
 
-use crate::connection::frame::Question;
+use crate::connection::frame::Permit;
 use crate::process::state::{Process, millis};
 
 impl Process {
@@ -97,20 +97,20 @@
 
     /// What the entry that decides is asked before a request is sent to a target; `None` where that takes
     /// all that comes.
-    pub(crate) fn question(&self, target: &id::Target) -> Option<Question> {
+    pub(crate) fn question(&self, target: &id::Target) -> Option<Permit> {
         let now = self.clock.now();
         let Allowance { advertised: named, cold } = self.allowance(target);
         if cold.is_some() {
             let start = self.leases.lock().get(target)?.start;
             let left = millis(self.cold_left(target));
-            return Some(Question::Cold(cold::Update {
+            return Some(Permit::ColdSend(cold::Update {
                 target: target.clone(),
                 start,
                 remaining_ms: left,
             }));
         }
         named?;
-        self.intake.lock().to_update(now, target).map(Question::Send)
+        self.intake.lock().to_update(now, target).map(Permit::LimitedSend)
     }
 
     /// What others should hear of.
--- a/crates/gateway/src/request/admit.rs
+++ b/crates/gateway/src/request/admit.rs
@@ -7,7 +7,7 @@
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::lease::Target;
 
-use crate::connection::frame::Question;
+use crate::connection::frame::Permit;
 use crate::process::lane::Pass;
 use crate::request::{Inquiry, Worker, held};
 
@@ -60,8 +60,8 @@
 async fn over_limit(worker: &Worker, target: &id::Target) -> Option<(Exclusion, Duration)> {
     let question = worker.process.question(target)?;
     let why = match question {
-        Question::Cold(_) => Exclusion::Cold,
-        Question::Send(_) | Question::Trial(_) => Exclusion::Limited,
+        Permit::ColdSend(_) => Exclusion::Cold,
+        Permit::LimitedSend(_) | Permit::Trial(_) => Exclusion::Limited,
     };
     let wait = worker.fleet.ask(question, SEND_TIMEOUT).await;
     worker.process.metrics.limited(why, if wait.is_some() { "elsewhere" } else { "sent" });
--- a/crates/gateway/src/request/held.rs
+++ b/crates/gateway/src/request/held.rs
@@ -6,7 +6,7 @@
 use ntex::http::Response;
 
 use crate::connection::exchange::CONNECT_TIMEOUT;
-use crate::connection::frame::Question;
+use crate::connection::frame::Permit;
 use crate::process::state::millis;
 use crate::request::{Inquiry, Worker, refuse};
 
@@ -41,7 +41,7 @@
         Decision::Refuse(wait) => Some(wait),
         Decision::Trial => {
             let record = worker.process.poison_record(inquiry.print)?;
-            let wait = worker.fleet.ask(Question::Trial(record), TRIAL_TIMEOUT).await;
+            let wait = worker.fleet.ask(Permit::Trial(record), TRIAL_TIMEOUT).await;
             if wait.is_none() {
                 inquiry.trial.set(true);
                 note(worker, inquiry, "tried", Duration::ZERO);
