--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -162,16 +162,21 @@
     #[serde(rename = "SpentCold")]
     ColdSend(cold::Update),
     /// Something that the receiver decides for all entries.
-    Ask {
+    #[serde(rename = "Ask")]
+    PermitRequest {
         /// The sender's number for the question.
-        ask: u64,
+        #[serde(rename = "ask")]
+        id: u64,
         /// What is asked.
-        question: Permit,
+        #[serde(rename = "question")]
+        permit: Permit,
     },
     /// The answer to a question.
-    Answer {
+    #[serde(rename = "Answer")]
+    PermitReply {
         /// The receiver's number for the question.
-        ask: u64,
+        #[serde(rename = "ask")]
+        id: u64,
         /// After how many milliseconds to ask again; `None` where it is granted.
         wait_ms: Option<u64>,
     },
@@ -249,7 +254,7 @@
             Self::Refused { .. } => "refused",
             Self::Poison(_) => "poison",
             Self::Limits(_) | Self::LimitedSend(_) | Self::ColdSend(_) => "limits",
-            Self::Ask { .. } | Self::Answer { .. } => "question",
+            Self::PermitRequest { .. } | Self::PermitReply { .. } => "question",
             Self::TurnAsk { .. } | Self::Turn { .. } | Self::TurnDone { .. } => "turn",
         }
     }
--- a/crates/gateway/src/process/fleet/grant.rs
+++ b/crates/gateway/src/process/fleet/grant.rs
@@ -70,7 +70,7 @@
         let (sender, receiver) = oneshot::channel();
         let ask = self.questions.add(Waiter::Own(sender));
         let key = question.key();
-        self.links.send(&keeper, &Frame::Ask { ask, question });
+        self.links.send(&keeper, &Frame::PermitRequest { id: ask, permit: question });
         let answer = timeout(within, receiver).await;
         self.questions.take(ask);
         match answer {
@@ -88,7 +88,7 @@
         let leaf = !self.view().actives.contains(from);
         if leaf && keeper != *self.host() {
             let ask = self.questions.add(Waiter::Passed(from.clone(), ask));
-            self.links.send(&keeper, &Frame::Ask { ask, question });
+            self.links.send(&keeper, &Frame::PermitRequest { id: ask, permit: question });
             return;
         }
         match &question {
@@ -97,7 +97,7 @@
             Permit::ColdSend(word) => self.process.hear_cold(word),
         }
         let wait = self.decide(&question);
-        self.links.send(from, &Frame::Answer { ask, wait_ms: wait.map(millis) });
+        self.links.send(from, &Frame::PermitReply { id: ask, wait_ms: wait.map(millis) });
     }
 
     pub(super) fn take_answer(&self, ask: u64, wait_ms: Option<u64>) {
@@ -107,7 +107,7 @@
                 let _ = waiter.send(wait_ms.map(Duration::from_millis));
             }
             Some(Waiter::Passed(leaf, ask)) => {
-                self.links.send(&leaf, &Frame::Answer { ask, wait_ms });
+                self.links.send(&leaf, &Frame::PermitReply { id: ask, wait_ms });
             }
             None => {}
         }
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -432,8 +432,8 @@
                 self.process.hear_cold(&word);
                 self.take_spent(from, word.target.clone(), Frame::ColdSend(word));
             }
-            Frame::Ask { ask, question } => self.take_question(from, ask, question),
-            Frame::Answer { ask, wait_ms } => self.take_answer(ask, wait_ms),
+            Frame::PermitRequest { id, permit } => self.take_question(from, id, permit),
+            Frame::PermitReply { id, wait_ms } => self.take_answer(id, wait_ms),
             Frame::TurnAsk { engine, ask } => self.desk.ask(self, from, &engine, ask),
             Frame::Turn { engine, request } => self.desk.grant(self, &engine, &request),
             Frame::TurnDone { engine, request } => self.desk.done(self, &engine, &request),
