--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -181,21 +181,25 @@
         wait_ms: Option<u64>,
     },
     /// An answer waits to be copied from an engine whose queue the receiver keeps.
-    TurnAsk {
+    #[serde(rename = "TurnAsk")]
+    MigrationRequest {
         /// The engine.
         engine: id::Target,
         /// The answer.
-        ask: Migration,
+        #[serde(rename = "ask")]
+        migration: Migration,
     },
     /// It is the turn of an answer of the receiver.
-    Turn {
+    #[serde(rename = "Turn")]
+    MigrationGrant {
         /// The engine.
         engine: id::Target,
         /// The answer's request.
         request: SmolStr,
     },
     /// A turn is over, or not wanted any more.
-    TurnDone {
+    #[serde(rename = "TurnDone")]
+    MigrationDone {
         /// The engine.
         engine: id::Target,
         /// The answer's request.
@@ -255,7 +259,9 @@
             Self::Poison(_) => "poison",
             Self::Limits(_) | Self::LimitedSend(_) | Self::ColdSend(_) => "limits",
             Self::PermitRequest { .. } | Self::PermitReply { .. } => "question",
-            Self::TurnAsk { .. } | Self::Turn { .. } | Self::TurnDone { .. } => "turn",
+            Self::MigrationRequest { .. }
+            | Self::MigrationGrant { .. }
+            | Self::MigrationDone { .. } => "turn",
         }
     }
 
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -278,11 +278,11 @@
     }
 
     pub(crate) fn ask_turn(&self, keeper: &id::Host, engine: &id::Target, ask: Migration) {
-        self.tell(keeper, &Frame::TurnAsk { engine: engine.clone(), ask });
+        self.tell(keeper, &Frame::MigrationRequest { engine: engine.clone(), migration: ask });
     }
 
     pub(crate) fn grant(&self, entry: &id::Host, engine: &id::Target, request: &SmolStr) {
-        let frame = Frame::Turn { engine: engine.clone(), request: request.clone() };
+        let frame = Frame::MigrationGrant { engine: engine.clone(), request: request.clone() };
         self.tell(entry, &frame);
     }
 
@@ -434,9 +434,11 @@
             }
             Frame::PermitRequest { id, permit } => self.take_question(from, id, permit),
             Frame::PermitReply { id, wait_ms } => self.take_answer(id, wait_ms),
-            Frame::TurnAsk { engine, ask } => self.desk.ask(self, from, &engine, ask),
-            Frame::Turn { engine, request } => self.desk.grant(self, &engine, &request),
-            Frame::TurnDone { engine, request } => self.desk.done(self, &engine, &request),
+            Frame::MigrationRequest { engine, migration } => {
+                self.desk.ask(self, from, &engine, migration)
+            }
+            Frame::MigrationGrant { engine, request } => self.desk.grant(self, &engine, &request),
+            Frame::MigrationDone { engine, request } => self.desk.done(self, &engine, &request),
             Frame::Refused { print, age_ms } => {
                 self.process.note_refused(print, Duration::from_millis(age_ms));
             }
--- a/crates/gateway/src/process/turn.rs
+++ b/crates/gateway/src/process/turn.rs
@@ -59,7 +59,7 @@
     pub(crate) fn done(&self, fleet: &Fleet, engine: &id::Target, request: &SmolStr) {
         let place = (engine.clone(), request.clone());
         if self.passed.lock().remove(&place).is_some() {
-            let frame = Frame::TurnDone { engine: place.0, request: place.1 };
+            let frame = Frame::MigrationDone { engine: place.0, request: place.1 };
             fleet.tell(&fleet.keeper(engine.as_str()), &frame);
             return;
         }
@@ -139,7 +139,8 @@
     fn drop(&mut self) {
         let key = (self.engine.clone(), self.request.clone());
         self.fleet.desk.waiters.lock().remove(&key);
-        let frame = Frame::TurnDone { engine: self.engine.clone(), request: self.request.clone() };
+        let frame =
+            Frame::MigrationDone { engine: self.engine.clone(), request: self.request.clone() };
         self.fleet.tell(&self.keeper, &frame);
     }
 }
