--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -118,16 +118,19 @@
     /// The first frame of each end.
     Hello(Member),
     /// What changed of the sender and the entries that it has a link to.
-    Alive(Update),
+    #[serde(rename = "Alive")]
+    Presence(Update),
     /// Please send the whole list of who is alive.
-    WantAlive,
+    #[serde(rename = "WantAlive")]
+    PresenceRequest,
     /// The sender's state; it shows too that the link works.
     #[serde(rename = "Beat")]
     Heartbeat(Heartbeat),
     /// About texts and their sections.
     Text(Message),
     /// Please send all targets.
-    WantTargets,
+    #[serde(rename = "WantTargets")]
+    TargetsRequest,
     /// All targets as of a position.
     Targets {
         /// Where the list stands.
@@ -147,7 +150,8 @@
     /// The sender has refused a request.
     Refused {
         /// Which.
-        print: Fingerprint,
+        #[serde(rename = "print")]
+        fingerprint: Fingerprint,
         /// For how many milliseconds it has been wanted.
         age_ms: u64,
     },
@@ -250,10 +254,10 @@
     pub(crate) fn kind(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
-            Self::Alive(_) | Self::WantAlive => "alive",
+            Self::Presence(_) | Self::PresenceRequest => "alive",
             Self::Heartbeat(_) => "beat",
             Self::Text(_) => "text",
-            Self::WantTargets | Self::Targets { .. } => "targets",
+            Self::TargetsRequest | Self::Targets { .. } => "targets",
             Self::Changes { .. } => "changes",
             Self::Refused { .. } => "refused",
             Self::Poison(_) => "poison",
@@ -294,7 +298,7 @@
     fn is_repetitive(&self) -> bool {
         matches!(
             self,
-            Self::Alive(_) | Self::Heartbeat(_) | Self::Changes { .. } | Self::Targets { .. }
+            Self::Presence(_) | Self::Heartbeat(_) | Self::Changes { .. } | Self::Targets { .. }
         )
     }
 }
--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -93,7 +93,7 @@
 
     fn want_targets(&self, from: &id::Host, position: Position) {
         if self.lists.lock().start(self.now(), from, position) {
-            self.links.send(from, &Frame::WantTargets);
+            self.links.send(from, &Frame::TargetsRequest);
         }
     }
 
--- a/crates/gateway/src/process/fleet/look.rs
+++ b/crates/gateway/src/process/fleet/look.rs
@@ -62,7 +62,7 @@
     fn share_alive(&self) {
         let Some(update) = self.teller.lock().update(self.linked()) else { return };
         let peers: Vec<id::Host> = self.peers.lock().keys().cloned().collect();
-        self.links.send_all(peers.iter(), &Frame::Alive(update));
+        self.links.send_all(peers.iter(), &Frame::Presence(update));
     }
 
     /// The seeds to link to while this entry knows too few others.
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -316,7 +316,8 @@
     pub(crate) fn share_refused(&self, print: Fingerprint, age: Duration) {
         self.process.note_refused(print, age);
         let (actives, _) = self.parted();
-        self.links.send_all(actives.iter(), &Frame::Refused { print, age_ms: millis(age) });
+        self.links
+            .send_all(actives.iter(), &Frame::Refused { fingerprint: print, age_ms: millis(age) });
     }
 
     fn view(&self) -> Arc<View> {
@@ -418,11 +419,11 @@
     fn take(&self, from: &id::Host, frame: Frame) {
         match frame {
             Frame::Hello(_) => {}
-            Frame::Alive(update) => self.take_alive(from, update),
-            Frame::WantAlive => self.tell_alive(from),
+            Frame::Presence(update) => self.take_alive(from, update),
+            Frame::PresenceRequest => self.tell_alive(from),
             Frame::Heartbeat(beat) => self.take_beat(from, beat),
             Frame::Text(message) => self.take_message(from, message),
-            Frame::WantTargets => self.send_targets(from),
+            Frame::TargetsRequest => self.send_targets(from),
             Frame::Poison(records) => self.take_poison(from, records),
             Frame::Limits(words) => self.take_limits(from, words),
             Frame::LimitedSend(word) => {
@@ -439,8 +440,8 @@
             }
             Frame::MigrationGrant { engine, request } => self.desk.grant(self, &engine, &request),
             Frame::MigrationDone { engine, request } => self.desk.done(self, &engine, &request),
-            Frame::Refused { print, age_ms } => {
-                self.process.note_refused(print, Duration::from_millis(age_ms));
+            Frame::Refused { fingerprint, age_ms } => {
+                self.process.note_refused(fingerprint, Duration::from_millis(age_ms));
             }
             Frame::Targets { revision, targets } => {
                 self.lists.lock().end();
@@ -474,7 +475,7 @@
     /// Tells one entry the whole of what all others were told.
     fn tell_alive(&self, to: &id::Host) {
         let whole = self.teller.lock().snapshot();
-        self.links.send(to, &Frame::Alive(whole));
+        self.links.send(to, &Frame::Presence(whole));
     }
 
     fn take_alive(&self, from: &id::Host, update: Update) {
@@ -486,7 +487,7 @@
             Ok(()) => self.stale.notify_one(),
             Err(gap) => {
                 ::log::debug!(peer:% = from, error:% = gap; "update missed");
-                self.links.send(from, &Frame::WantAlive);
+                self.links.send(from, &Frame::PresenceRequest);
             }
         }
     }
