--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -23,7 +23,7 @@
 use crate::connection::deflate;
 
 /// The largest frame that is read: ten thousand targets fit.
-pub(crate) const MAX_FRAME: usize = 2 << 20;
+pub(crate) const MAX_FRAME_BYTES: usize = 2 << 20;
 
 /// The first byte of a frame that goes as it is.
 const PLAIN: u8 = 0;
@@ -32,7 +32,7 @@
 const DEFLATED: u8 = 1;
 
 /// Bytes from which deflating a frame is worth its processor time.
-const DEFLATE_FROM: usize = 512;
+const MIN_DEFLATE_BYTES: usize = 512;
 
 /// What an entry holds at one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -244,7 +244,7 @@
 }
 
 impl FrameError {
-    fn of(reason: impl std::fmt::Display) -> Self {
+    fn new(reason: impl std::fmt::Display) -> Self {
         Self { reason: reason.to_string() }
     }
 }
@@ -273,23 +273,23 @@
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![PLAIN];
         ciborium::into_writer(self, &mut bytes).expect("a frame goes into memory");
-        if bytes.len() < DEFLATE_FROM || !self.is_repetitive() {
+        if bytes.len() < MIN_DEFLATE_BYTES || !self.is_repetitive() {
             return bytes;
         }
         let mut deflated = vec![DEFLATED];
-        deflated.extend(deflate::pack(&bytes[1..]).expect("bytes go into memory"));
+        deflated.extend(deflate::compress(&bytes[1..]).expect("bytes go into memory"));
         deflated
     }
 
     /// Reads a frame.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
-        let read = |bytes: &[u8]| ciborium::from_reader(bytes).map_err(FrameError::of);
+        let read = |bytes: &[u8]| ciborium::from_reader(bytes).map_err(FrameError::new);
         match bytes.split_first() {
             Some((&PLAIN, rest)) => read(rest),
             Some((&DEFLATED, rest)) => {
-                read(&deflate::unpack(rest, MAX_FRAME).map_err(FrameError::of)?)
+                read(&deflate::decompress(rest, MAX_FRAME_BYTES).map_err(FrameError::new)?)
             }
-            _ => Err(FrameError::of("an unknown form")),
+            _ => Err(FrameError::new("an unknown form")),
         }
     }
 
--- a/crates/gateway/src/connection/link.rs
+++ b/crates/gateway/src/connection/link.rs
@@ -16,7 +16,7 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-use crate::connection::frame::{Frame, MAX_FRAME};
+use crate::connection::frame::{Frame, MAX_FRAME_BYTES};
 use crate::connection::tally::{Tallied, Tally};
 use crate::connection::traffic::Traffic;
 
@@ -284,8 +284,8 @@
     // A faulty peer could otherwise make this end hold 64 MB for one message.
     WebSocketConfig::default()
         .read_buffer_size(8 << 10)
-        .max_message_size(Some(MAX_FRAME))
-        .max_frame_size(Some(MAX_FRAME))
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
 }
 
 async fn connect(
