--- a/crates/gateway/src/connection/exchange.rs
+++ b/crates/gateway/src/connection/exchange.rs
@@ -66,9 +66,9 @@
 /// The library closes it as well, as soon as it finds that nobody reads: the tests of callers that
 /// leave pass without this. It only makes the close independent of what is still unread.
 #[derive(Debug)]
-struct Connection(AbortHandle);
+struct ConnectionGuard(AbortHandle);
 
-impl Drop for Connection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -92,10 +92,10 @@
     address: SocketAddr,
     mut outgoing: Outgoing,
 ) -> Result<Response, Failure> {
-    let shaken = http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, driver) = shaken.map_err(|error| Failure::broken(&error))?;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (mut sender, driver) = handshake.map_err(|error| Failure::broken(&error))?;
     let (driver, handle) = abortable(driver);
-    let connection = Connection(handle);
+    let connection = ConnectionGuard(handle);
     ntex::rt::spawn(async move {
         // Its failures reach the response as well.
         let _ = driver.await;
@@ -115,7 +115,7 @@
             headers.append(name.clone(), value);
         }
     }
-    Ok(Response { status: head.status, headers, body, pause: None, _connection: connection })
+    Ok(Response { status: head.status, headers, body, idle_timeout: None, _connection: connection })
 }
 
 fn request(
@@ -139,8 +139,8 @@
     pub(crate) headers: HeaderMap,
     body: Incoming,
     /// The longest time that a part of the body may take to come.
-    pause: Option<Duration>,
-    _connection: Connection,
+    idle_timeout: Option<Duration>,
+    _connection: ConnectionGuard,
 }
 
 impl Response {
@@ -150,10 +150,10 @@
     /// the way looks complete. Only an orderly close counts as its end.
     pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
-            let frame = match self.pause {
+            let frame = match self.idle_timeout {
                 None => self.body.frame().await,
-                Some(pause) => {
-                    timeout(pause, self.body.frame()).await.map_err(|()| Failure::Late)?
+                Some(idle_timeout) => {
+                    timeout(idle_timeout, self.body.frame()).await.map_err(|()| Failure::Late)?
                 }
             };
             match frame {
@@ -170,7 +170,7 @@
     }
 
     /// The whole body, where it is at most `limit` bytes.
-    pub(crate) async fn whole(&mut self, limit: usize) -> Result<Bytes, Failure> {
+    pub(crate) async fn read_body(&mut self, limit: usize) -> Result<Bytes, Failure> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.chunk().await? {
             if body.len() + bytes.len() > limit {
@@ -190,12 +190,12 @@
     limit: usize,
 ) -> Result<(StatusCode, Bytes), Failure> {
     let fetched = timeout(within, fetch(address, outgoing, within, within, limit)).await;
-    fetched.unwrap_or(Err(Failure::Late)).map(|whole| (whole.status, whole.body))
+    fetched.unwrap_or(Err(Failure::Late)).map(|reply| (reply.status, reply.body))
 }
 
 /// A whole reply.
 #[derive(Debug)]
-pub(crate) struct Whole {
+pub(crate) struct Reply {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
@@ -211,12 +211,12 @@
 pub(crate) async fn fetch(
     address: SocketAddr,
     outgoing: Outgoing,
-    begin: Duration,
-    pause: Duration,
+    head_timeout: Duration,
+    idle_timeout: Duration,
     limit: usize,
-) -> Result<Whole, Failure> {
-    let mut response = send(address, outgoing, begin).await?;
-    response.pause = Some(pause);
-    let body = response.whole(limit).await?;
-    Ok(Whole { status: response.status, headers: response.headers, body })
+) -> Result<Reply, Failure> {
+    let mut response = send(address, outgoing, head_timeout).await?;
+    response.idle_timeout = Some(idle_timeout);
+    let body = response.read_body(limit).await?;
+    Ok(Reply { status: response.status, headers: response.headers, body })
 }
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -213,7 +213,7 @@
     let listed = worker.process.target(target).ok_or(Ended::Unrun("gone"))?;
     let begun = attempt::begin::<P>(worker, inquiry, target, &Extra::default()).await?;
     let Begun { mut response, sent } = begun;
-    let body = response.whole(MAX_ANSWER).await.map_err(|failure| {
+    let body = response.read_body(MAX_ANSWER).await.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
             broken::Run::of(worker, inquiry, &listed, sent).spawn();
         }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -197,7 +197,7 @@
         let failed = response.status.is_server_error();
         let listed = self.worker.process.target(pass.target());
         pass.finish(if failed { Outcome::ServerError } else { Outcome::Whole });
-        let body = response.whole(MAX_ANSWER).await.map_err(|_| {
+        let body = response.read_body(MAX_ANSWER).await.map_err(|_| {
             if let Some(target) = &listed {
                 broken::Run::of(self.worker, &self.inquiry, target, *sent).spawn();
             }
