--- a/crates/gateway/src/connection/exchange.rs
+++ b/crates/gateway/src/connection/exchange.rs
@@ -33,16 +33,16 @@
 pub(crate) enum Failure {
     /// No connection came about: the request was not written.
     #[display("not reached; see whether the target is up")]
-    Unreached,
+    ConnectFailed,
     /// The connection ended, or what came is no response; the request may have run.
     #[display("broken off ({reason}); see the target's log")]
     Broken { reason: String },
     /// Nothing came in time; the request may have run.
     #[display("no answer in time; see whether the target is overloaded")]
-    Late,
+    TimedOut,
     /// The body is larger than is held.
     #[display("body too large; raise the bound or send less")]
-    Large,
+    BodyTooLarge,
 }
 
 impl Failure {
@@ -81,10 +81,10 @@
     within: Duration,
 ) -> Result<Response, Failure> {
     let connected = timeout(CONNECT_TIMEOUT.min(within), TcpStream::connect(address)).await;
-    let Ok(Ok(stream)) = connected else { return Err(Failure::Unreached) };
+    let Ok(Ok(stream)) = connected else { return Err(Failure::ConnectFailed) };
     // Small requests must not wait for the acknowledgement of earlier packets.
     let _ = stream.set_nodelay(true);
-    timeout(within, exchange(stream, address, outgoing)).await.unwrap_or(Err(Failure::Late))
+    timeout(within, exchange(stream, address, outgoing)).await.unwrap_or(Err(Failure::TimedOut))
 }
 
 async fn exchange(
@@ -152,9 +152,9 @@
         loop {
             let frame = match self.idle_timeout {
                 None => self.body.frame().await,
-                Some(idle_timeout) => {
-                    timeout(idle_timeout, self.body.frame()).await.map_err(|()| Failure::Late)?
-                }
+                Some(idle_timeout) => timeout(idle_timeout, self.body.frame())
+                    .await
+                    .map_err(|()| Failure::TimedOut)?,
             };
             match frame {
                 Some(Ok(frame)) => {
@@ -174,7 +174,7 @@
         let mut body = BytesMut::new();
         while let Some(bytes) = self.chunk().await? {
             if body.len() + bytes.len() > limit {
-                return Err(Failure::Large);
+                return Err(Failure::BodyTooLarge);
             }
             body.extend_from_slice(&bytes);
         }
@@ -190,7 +190,7 @@
     limit: usize,
 ) -> Result<(StatusCode, Bytes), Failure> {
     let fetched = timeout(within, fetch(address, outgoing, within, within, limit)).await;
-    fetched.unwrap_or(Err(Failure::Late)).map(|reply| (reply.status, reply.body))
+    fetched.unwrap_or(Err(Failure::TimedOut)).map(|reply| (reply.status, reply.body))
 }
 
 /// A whole reply.
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -30,10 +30,10 @@
 impl Ended {
     fn of(failure: &Failure) -> Self {
         match failure {
-            Failure::Unreached => Self::Unsent("unreached"),
-            Failure::Late => Self::Unknown("late"),
+            Failure::ConnectFailed => Self::Unsent("unreached"),
+            Failure::TimedOut => Self::Unknown("late"),
             Failure::Broken { .. } => Self::Unknown("broken"),
-            Failure::Large => Self::Unknown("large"),
+            Failure::BodyTooLarge => Self::Unknown("large"),
         }
     }
 
