--- a/crates/gateway/src/connection/link.rs
+++ b/crates/gateway/src/connection/link.rs
@@ -17,7 +17,7 @@
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
 use crate::connection::frame::{Frame, MAX_FRAME_BYTES};
-use crate::connection::tally::{Tallied, Tally};
+use crate::connection::monitor::{Monitor, MonitoredSocket};
 use crate::connection::traffic::Traffic;
 
 /// A link on which no byte came for this long is closed: three heartbeats.
@@ -87,18 +87,18 @@
 }
 
 impl Heard {
-    fn now(tally: &Tally) -> Self {
-        Self { at: Instant::now(), received: tally.get().received }
+    fn now(monitor: &Monitor) -> Self {
+        Self { at: Instant::now(), received: monitor.get().received }
     }
 
     /// What is to be said of a link that ends for this reason.
-    fn loss(&self, reason: Reason, tally: &Tally) -> Loss {
-        let arrived = tally.get();
+    fn loss(&self, reason: Reason, monitor: &Monitor) -> Loss {
+        let snapshot = monitor.get();
         Loss {
             reason,
             frame_ago: self.at.elapsed(),
-            byte_ago: arrived.received_at.elapsed(),
-            partial: arrived.received.saturating_sub(self.received),
+            byte_ago: snapshot.received_at.elapsed(),
+            partial: snapshot.received.saturating_sub(self.received),
         }
     }
 }
@@ -177,8 +177,8 @@
     /// Links to the entry at an address, until the link ends.
     pub(crate) async fn dial(self: Arc<Self>, address: SocketAddr) {
         let connected = timeout(GREETING, connect(address)).await;
-        if let Ok(Some((socket, tally))) = connected {
-            self.carry(socket, tally).await;
+        if let Ok(Some((socket, monitor))) = connected {
+            self.carry(socket, monitor).await;
         }
     }
 
@@ -193,10 +193,10 @@
             let links = Arc::clone(&self);
             ntex::rt::spawn(async move {
                 let _ = stream.set_nodelay(true);
-                let (stream, tally) = Tallied::open(stream);
+                let (stream, monitor) = MonitoredSocket::open(stream);
                 let accept = tokio_tungstenite::accept_async_with_config(stream, Some(config()));
                 if let Ok(Ok(socket)) = timeout(GREETING, accept).await {
-                    links.carry(socket, tally).await;
+                    links.carry(socket, monitor).await;
                 }
             })
             .detach();
@@ -204,7 +204,7 @@
     }
 
     /// Greets, then reads and writes one link until either end gives it up.
-    async fn carry<S, E>(self: Arc<Self>, socket: S, tally: Tally)
+    async fn carry<S, E>(self: Arc<Self>, socket: S, monitor: Monitor)
     where
         S: Stream<Item = Result<Message, E>> + Sink<Message> + Unpin,
     {
@@ -216,17 +216,17 @@
         let link = Link { number, member: member.clone(), frames };
         self.open.lock().insert(host.clone(), link);
         let _ = self.events.send(Event::Up(member)).await;
-        let mut heard = Heard::now(&tally);
+        let mut heard = Heard::now(&monitor);
         // Reading goes on while a frame is written, and comes first: what waits to be read is no
         // silence. Writing has no limit of its own: a system takes bytes in lumps, some of them after
         // seconds on a narrow link, and an end that gets none closes the link as silent.
         let reason = tokio::select! {
             biased;
-            reason = self.read_all(&host, &mut source, &tally, &mut heard) => reason,
+            reason = self.read_all(&host, &mut source, &monitor, &mut heard) => reason,
             reason = write_all(&mut sink, outgoing) => reason,
-            () = tally.silent(SILENT) => Reason::Silent,
+            () = monitor.silent(SILENT) => Reason::Silent,
         };
-        self.forget(&host, number, heard.loss(reason, &tally)).await;
+        self.forget(&host, number, heard.loss(reason, &monitor)).await;
     }
 
     /// Says who this end is, and returns who the other one is; `None` where it is this entry itself,
@@ -252,14 +252,14 @@
         &self,
         host: &id::Host,
         source: &mut R,
-        tally: &Tally,
+        monitor: &Monitor,
         heard: &mut Heard,
     ) -> Reason
     where
         R: Stream<Item = Result<Message, E>> + Unpin,
     {
         while let Some(frame) = read(source, &self.traffic).await {
-            *heard = Heard::now(tally);
+            *heard = Heard::now(monitor);
             let _ = self.events.send(Event::Frame(host.clone(), frame)).await;
         }
         Reason::Ended
@@ -292,14 +292,14 @@
     address: SocketAddr,
 ) -> Option<(
     impl Stream<Item = Result<Message, tokio_tungstenite::tungstenite::Error>> + Sink<Message> + Unpin,
-    Tally,
+    Monitor,
 )> {
     let stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
-    let (stream, tally) = Tallied::open(stream);
+    let (stream, monitor) = MonitoredSocket::open(stream);
     let url = format!("ws://{address}/peer");
     let dialled = tokio_tungstenite::client_async_with_config(url, stream, Some(config())).await;
-    dialled.ok().map(|(socket, _)| (socket, tally))
+    dialled.ok().map(|(socket, _)| (socket, monitor))
 }
 
 async fn read<S, E>(source: &mut S, traffic: &Traffic) -> Option<Frame>
--- a/crates/gateway/src/connection/mod.rs
+++ b/crates/gateway/src/connection/mod.rs
@@ -4,5 +4,5 @@
 pub(crate) mod exchange;
 pub(crate) mod frame;
 pub(crate) mod link;
-pub(crate) mod tally;
+pub(crate) mod monitor;
 pub(crate) mod traffic;
--- a/crates/gateway/src/connection/tally.rs
+++ b/crates/gateway/src/connection/monitor.rs
@@ -12,20 +12,20 @@
 
 /// What has come on a socket so far.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Arrived {
+pub(crate) struct Snapshot {
     /// When the latest bytes came; when it was opened, where none did.
     pub(crate) received_at: Instant,
     /// How many have come in all.
     pub(crate) received: u64,
 }
 
-/// Reads [`Arrived`] while its socket is in use elsewhere.
+/// Reads [`Snapshot`] while its socket is in use elsewhere.
 #[derive(Clone, Debug)]
-pub(crate) struct Tally(Arc<Mutex<Arrived>>);
+pub(crate) struct Monitor(Arc<Mutex<Snapshot>>);
 
-impl Tally {
+impl Monitor {
     /// What has come so far.
-    pub(crate) fn get(&self) -> Arrived {
+    pub(crate) fn get(&self) -> Snapshot {
         *self.0.lock()
     }
 
@@ -43,22 +43,22 @@
 
 /// A socket that counts what comes.
 #[derive(Debug)]
-pub(crate) struct Tallied<S> {
+pub(crate) struct MonitoredSocket<S> {
     socket: S,
-    tally: Tally,
+    monitor: Monitor,
 }
 
-impl<S> Tallied<S> {
-    /// Counts from now on; the tally is read by whoever judges the connection.
-    pub(crate) fn open(socket: S) -> (Self, Tally) {
+impl<S> MonitoredSocket<S> {
+    /// Counts from now on; the monitor is read by whoever judges the connection.
+    pub(crate) fn open(socket: S) -> (Self, Monitor) {
         let now = Instant::now();
-        let arrived = Arrived { received_at: now, received: 0 };
-        let tally = Tally(Arc::new(Mutex::new(arrived)));
-        (Self { socket, tally: tally.clone() }, tally)
+        let snapshot = Snapshot { received_at: now, received: 0 };
+        let monitor = Monitor(Arc::new(Mutex::new(snapshot)));
+        (Self { socket, monitor: monitor.clone() }, monitor)
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Tallied<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for MonitoredSocket<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -68,15 +68,15 @@
         ready!(Pin::new(&mut self.socket).poll_read(context, buffer))?;
         let count = buffer.filled().len() - before;
         if count > 0 {
-            let mut arrived = self.tally.0.lock();
-            arrived.received_at = Instant::now();
-            arrived.received += count as u64;
+            let mut snapshot = self.monitor.0.lock();
+            snapshot.received_at = Instant::now();
+            snapshot.received += count as u64;
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Tallied<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for MonitoredSocket<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
