--- a/crates/gateway/src/connection/link.rs
+++ b/crates/gateway/src/connection/link.rs
@@ -54,7 +54,7 @@
     /// Since the latest byte.
     pub(crate) byte_ago: Duration,
     /// Bytes that came since the latest whole frame.
-    pub(crate) partial: u64,
+    pub(crate) partial_bytes: u64,
 }
 
 /// Why a link ended.
@@ -80,25 +80,25 @@
 }
 
 /// When the latest whole frame came on a link.
-struct Heard {
-    at: Instant,
+struct LastFrame {
+    received_at: Instant,
     /// Bytes that had come by then.
-    received: u64,
+    received_bytes: u64,
 }
 
-impl Heard {
+impl LastFrame {
     fn now(monitor: &Monitor) -> Self {
-        Self { at: Instant::now(), received: monitor.get().received }
+        Self { received_at: Instant::now(), received_bytes: monitor.snapshot().received_bytes }
     }
 
     /// What is to be said of a link that ends for this reason.
     fn loss(&self, reason: Reason, monitor: &Monitor) -> Loss {
-        let snapshot = monitor.get();
+        let snapshot = monitor.snapshot();
         Loss {
             reason,
-            frame_ago: self.at.elapsed(),
-            byte_ago: snapshot.received_at.elapsed(),
-            partial: snapshot.received.saturating_sub(self.received),
+            frame_ago: self.received_at.elapsed(),
+            byte_ago: snapshot.last_received.elapsed(),
+            partial_bytes: snapshot.received_bytes.saturating_sub(self.received_bytes),
         }
     }
 }
@@ -193,7 +193,7 @@
             let links = Arc::clone(&self);
             ntex::rt::spawn(async move {
                 let _ = stream.set_nodelay(true);
-                let (stream, monitor) = MonitoredSocket::open(stream);
+                let (stream, monitor) = MonitoredSocket::new(stream);
                 let accept = tokio_tungstenite::accept_async_with_config(stream, Some(config()));
                 if let Ok(Ok(socket)) = timeout(GREETING, accept).await {
                     links.carry(socket, monitor).await;
@@ -216,17 +216,17 @@
         let link = Link { number, member: member.clone(), frames };
         self.open.lock().insert(host.clone(), link);
         let _ = self.events.send(Event::Up(member)).await;
-        let mut heard = Heard::now(&monitor);
+        let mut last_frame = LastFrame::now(&monitor);
         // Reading goes on while a frame is written, and comes first: what waits to be read is no
         // silence. Writing has no limit of its own: a system takes bytes in lumps, some of them after
         // seconds on a narrow link, and an end that gets none closes the link as silent.
         let reason = tokio::select! {
             biased;
-            reason = self.read_all(&host, &mut source, &monitor, &mut heard) => reason,
+            reason = self.read_all(&host, &mut source, &monitor, &mut last_frame) => reason,
             reason = write_all(&mut sink, outgoing) => reason,
-            () = monitor.silent(SILENT) => Reason::Silent,
+            () = monitor.wait_idle(SILENT) => Reason::Silent,
         };
-        self.forget(&host, number, heard.loss(reason, &monitor)).await;
+        self.forget(&host, number, last_frame.loss(reason, &monitor)).await;
     }
 
     /// Says who this end is, and returns who the other one is; `None` where it is this entry itself,
@@ -253,13 +253,13 @@
         host: &id::Host,
         source: &mut R,
         monitor: &Monitor,
-        heard: &mut Heard,
+        last_frame: &mut LastFrame,
     ) -> Reason
     where
         R: Stream<Item = Result<Message, E>> + Unpin,
     {
         while let Some(frame) = read(source, &self.traffic).await {
-            *heard = Heard::now(monitor);
+            *last_frame = LastFrame::now(monitor);
             let _ = self.events.send(Event::Frame(host.clone(), frame)).await;
         }
         Reason::Ended
@@ -296,7 +296,7 @@
 )> {
     let stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
-    let (stream, monitor) = MonitoredSocket::open(stream);
+    let (stream, monitor) = MonitoredSocket::new(stream);
     let url = format!("ws://{address}/peer");
     let dialled = tokio_tungstenite::client_async_with_config(url, stream, Some(config())).await;
     dialled.ok().map(|(socket, _)| (socket, monitor))
--- a/crates/gateway/src/connection/monitor.rs
+++ b/crates/gateway/src/connection/monitor.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Snapshot {
     /// When the latest bytes came; when it was opened, where none did.
-    pub(crate) received_at: Instant,
+    pub(crate) last_received: Instant,
     /// How many have come in all.
-    pub(crate) received: u64,
+    pub(crate) received_bytes: u64,
 }
 
 /// Reads [`Snapshot`] while its socket is in use elsewhere.
@@ -25,14 +25,14 @@
 
 impl Monitor {
     /// What has come so far.
-    pub(crate) fn get(&self) -> Snapshot {
+    pub(crate) fn snapshot(&self) -> Snapshot {
         *self.0.lock()
     }
 
-    /// Waits until no byte has come for `span`.
-    pub(crate) async fn silent(&self, span: Duration) {
+    /// Waits until no byte has come for `timeout`.
+    pub(crate) async fn wait_idle(&self, timeout: Duration) {
         loop {
-            let end = self.get().received_at + span;
+            let end = self.snapshot().last_received + timeout;
             if Instant::now() >= end {
                 return;
             }
@@ -50,9 +50,9 @@
 
 impl<S> MonitoredSocket<S> {
     /// Counts from now on; the monitor is read by whoever judges the connection.
-    pub(crate) fn open(socket: S) -> (Self, Monitor) {
+    pub(crate) fn new(socket: S) -> (Self, Monitor) {
         let now = Instant::now();
-        let snapshot = Snapshot { received_at: now, received: 0 };
+        let snapshot = Snapshot { last_received: now, received_bytes: 0 };
         let monitor = Monitor(Arc::new(Mutex::new(snapshot)));
         (Self { socket, monitor: monitor.clone() }, monitor)
     }
@@ -69,8 +69,8 @@
         let count = buffer.filled().len() - before;
         if count > 0 {
             let mut snapshot = self.monitor.0.lock();
-            snapshot.received_at = Instant::now();
-            snapshot.received += count as u64;
+            snapshot.last_received = Instant::now();
+            snapshot.received_bytes += count as u64;
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -407,7 +407,7 @@
     fn down(&self, host: &id::Host, loss: Loss) {
         ::log::warn!(
             peer:% = host, reason = loss.reason.name(), frame_ms = millis(loss.frame_ago),
-            byte_ms = millis(loss.byte_ago), partial_bytes = loss.partial; "peer lost"
+            byte_ms = millis(loss.byte_ago), partial_bytes = loss.partial_bytes; "peer lost"
         );
         self.peers.lock().remove(host);
         self.ask_others(host);
