--- a/crates/gateway/src/connection/link.rs
+++ b/crates/gateway/src/connection/link.rs
@@ -26,13 +26,13 @@
 /// waits for good, while new connections work. Bytes count and not whole frames: a heartbeat that
 /// waits behind a large frame on a narrow link is no silence, and a link that is closed for it
 /// loses what had arrived and begins anew. Both ends judge by what comes, and by nothing else.
-pub(crate) const SILENT: Duration = Duration::from_millis(900);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How long connecting and greeting may take together.
-const GREETING: Duration = Duration::from_millis(900);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Frames that wait for one link; more are dropped, since heartbeats repeat what they say.
-const BACKLOG: usize = 64;
+const SEND_QUEUE_FRAMES: usize = 64;
 
 /// What the links tell the process.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
 /// Why a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reason {
-    /// Nothing came for [`SILENT`].
+    /// Nothing came for [`SILENCE_TIMEOUT`].
     Silent,
     /// This end closed it, or has a newer one.
     Closed,
@@ -109,8 +109,8 @@
     own: Member,
     traffic: Traffic,
     events: mpsc::Sender<Event>,
-    open: Mutex<HashMap<id::Host, Link>>,
-    next: AtomicU64,
+    links: Mutex<HashMap<id::Host, Link>>,
+    next_number: AtomicU64,
 }
 
 #[derive(Clone, Debug)]
@@ -122,42 +122,48 @@
 
 impl Links {
     /// Opens a set without links; events arrive at the receiver of `events`.
-    pub(crate) fn open(own: Member, traffic: Traffic, events: mpsc::Sender<Event>) -> Arc<Self> {
-        Arc::new(Self { own, traffic, events, open: Mutex::default(), next: AtomicU64::new(0) })
+    pub(crate) fn new(own: Member, traffic: Traffic, events: mpsc::Sender<Event>) -> Arc<Self> {
+        Arc::new(Self {
+            own,
+            traffic,
+            events,
+            links: Mutex::default(),
+            next_number: AtomicU64::new(0),
+        })
     }
 
     /// Whether some link leads to an address.
-    pub(crate) fn reaches(&self, address: SocketAddr) -> bool {
-        self.open.lock().values().any(|link| link.member.peers == address)
+    pub(crate) fn has_link_to(&self, address: SocketAddr) -> bool {
+        self.links.lock().values().any(|link| link.member.peers == address)
     }
 
     /// Sends a frame to one host, if it has a link.
     pub(crate) fn send(&self, to: &id::Host, frame: &Frame) {
-        let link = self.open.lock().get(to).cloned();
+        let link = self.links.lock().get(to).cloned();
         if let Some(link) = link {
-            self.queue(&link, frame.kind(), Arc::new(frame.encode()));
+            self.enqueue(&link, frame.kind(), Arc::new(frame.encode()));
         }
     }
 
     /// Sends a frame that was encoded before to one host, if it has a link.
     pub(crate) fn send_encoded(&self, to: &id::Host, kind: &'static str, bytes: Arc<Vec<u8>>) {
-        let link = self.open.lock().get(to).cloned();
+        let link = self.links.lock().get(to).cloned();
         if let Some(link) = link {
-            self.queue(&link, kind, bytes);
+            self.enqueue(&link, kind, bytes);
         }
     }
 
     /// Sends a frame to several hosts.
     pub(crate) fn send_all<'a>(&self, to: impl Iterator<Item = &'a id::Host>, frame: &Frame) {
         let bytes = Arc::new(frame.encode());
-        let open = self.open.lock();
-        for link in to.filter_map(|host| open.get(host)) {
-            self.queue(link, frame.kind(), Arc::clone(&bytes));
+        let links = self.links.lock();
+        for link in to.filter_map(|host| links.get(host)) {
+            self.enqueue(link, frame.kind(), Arc::clone(&bytes));
         }
     }
 
     /// Queues a frame; one that finds the queue full is dropped.
-    fn queue(&self, link: &Link, kind: &'static str, bytes: Arc<Vec<u8>>) {
+    fn enqueue(&self, link: &Link, kind: &'static str, bytes: Arc<Vec<u8>>) {
         let count = bytes.len();
         match link.frames.try_send(bytes) {
             Ok(()) => self.traffic.sent(kind, count),
@@ -171,14 +177,14 @@
 
     /// Closes the link to a host.
     pub(crate) fn close(&self, host: &id::Host) {
-        self.open.lock().remove(host);
+        self.links.lock().remove(host);
     }
 
     /// Links to the entry at an address, until the link ends.
     pub(crate) async fn dial(self: Arc<Self>, address: SocketAddr) {
-        let connected = timeout(GREETING, connect(address)).await;
+        let connected = timeout(HANDSHAKE_TIMEOUT, connect(address)).await;
         if let Ok(Some((socket, monitor))) = connected {
-            self.carry(socket, monitor).await;
+            self.run(socket, monitor).await;
         }
     }
 
@@ -194,9 +200,10 @@
             ntex::rt::spawn(async move {
                 let _ = stream.set_nodelay(true);
                 let (stream, monitor) = MonitoredSocket::new(stream);
-                let accept = tokio_tungstenite::accept_async_with_config(stream, Some(config()));
-                if let Ok(Ok(socket)) = timeout(GREETING, accept).await {
-                    links.carry(socket, monitor).await;
+                let accept =
+                    tokio_tungstenite::accept_async_with_config(stream, Some(websocket_config()));
+                if let Ok(Ok(socket)) = timeout(HANDSHAKE_TIMEOUT, accept).await {
+                    links.run(socket, monitor).await;
                 }
             })
             .detach();
@@ -204,17 +211,17 @@
     }
 
     /// Greets, then reads and writes one link until either end gives it up.
-    async fn carry<S, E>(self: Arc<Self>, socket: S, monitor: Monitor)
+    async fn run<S, E>(self: Arc<Self>, socket: S, monitor: Monitor)
     where
         S: Stream<Item = Result<Message, E>> + Sink<Message> + Unpin,
     {
         let (mut sink, mut source) = socket.split();
-        let Some(member) = self.greet(&mut sink, &mut source).await else { return };
+        let Some(member) = self.handshake(&mut sink, &mut source).await else { return };
         let host = member.host.clone();
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let (frames, outgoing) = mpsc::channel(BACKLOG);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let (frames, outgoing) = mpsc::channel(SEND_QUEUE_FRAMES);
         let link = Link { number, member: member.clone(), frames };
-        self.open.lock().insert(host.clone(), link);
+        self.links.lock().insert(host.clone(), link);
         let _ = self.events.send(Event::Up(member)).await;
         let mut last_frame = LastFrame::now(&monitor);
         // Reading goes on while a frame is written, and comes first: what waits to be read is no
@@ -222,33 +229,33 @@
         // seconds on a narrow link, and an end that gets none closes the link as silent.
         let reason = tokio::select! {
             biased;
-            reason = self.read_all(&host, &mut source, &monitor, &mut last_frame) => reason,
-            reason = write_all(&mut sink, outgoing) => reason,
-            () = monitor.wait_idle(SILENT) => Reason::Silent,
+            reason = self.receive_frames(&host, &mut source, &monitor, &mut last_frame) => reason,
+            reason = send_frames(&mut sink, outgoing) => reason,
+            () = monitor.wait_idle(SILENCE_TIMEOUT) => Reason::Silent,
         };
-        self.forget(&host, number, last_frame.loss(reason, &monitor)).await;
+        self.remove(&host, number, last_frame.loss(reason, &monitor)).await;
     }
 
     /// Says who this end is, and returns who the other one is; `None` where it is this entry itself,
     /// or does not say.
-    async fn greet<S, R, E>(&self, sink: &mut S, source: &mut R) -> Option<Member>
+    async fn handshake<S, R, E>(&self, sink: &mut S, source: &mut R) -> Option<Member>
     where
         S: Sink<Message> + Unpin,
         R: Stream<Item = Result<Message, E>> + Unpin,
     {
         let hello = Arc::new(Frame::Hello(self.own.clone()).encode());
-        let greeted = async {
+        let handshake = async {
             write(sink, &hello).await.ok()?;
             read(source, &self.traffic).await
         };
-        match timeout(GREETING, greeted).await {
+        match timeout(HANDSHAKE_TIMEOUT, handshake).await {
             Ok(Some(Frame::Hello(member))) if member.host != self.own.host => Some(member),
             _ => None,
         }
     }
 
     /// Hands on frames until none can be read any more.
-    async fn read_all<R, E>(
+    async fn receive_frames<R, E>(
         &self,
         host: &id::Host,
         source: &mut R,
@@ -265,22 +272,22 @@
         Reason::Ended
     }
 
-    async fn forget(&self, host: &id::Host, number: u64, loss: Loss) {
+    async fn remove(&self, host: &id::Host, number: u64, loss: Loss) {
         self.traffic.lost(loss.reason.name());
-        let last = {
-            let mut open = self.open.lock();
-            if open.get(host).is_some_and(|link| link.number == number) {
-                open.remove(host);
+        let gone = {
+            let mut links = self.links.lock();
+            if links.get(host).is_some_and(|link| link.number == number) {
+                links.remove(host);
             }
-            !open.contains_key(host)
+            !links.contains_key(host)
         };
-        if last {
+        if gone {
             let _ = self.events.send(Event::Down(host.clone(), loss)).await;
         }
     }
 }
 
-fn config() -> WebSocketConfig {
+fn websocket_config() -> WebSocketConfig {
     // A faulty peer could otherwise make this end hold 64 MB for one message.
     WebSocketConfig::default()
         .read_buffer_size(8 << 10)
@@ -298,8 +305,9 @@
     let _ = stream.set_nodelay(true);
     let (stream, monitor) = MonitoredSocket::new(stream);
     let url = format!("ws://{address}/peer");
-    let dialled = tokio_tungstenite::client_async_with_config(url, stream, Some(config())).await;
-    dialled.ok().map(|(socket, _)| (socket, monitor))
+    let connected =
+        tokio_tungstenite::client_async_with_config(url, stream, Some(websocket_config())).await;
+    connected.ok().map(|(socket, _)| (socket, monitor))
 }
 
 async fn read<S, E>(source: &mut S, traffic: &Traffic) -> Option<Frame>
@@ -325,7 +333,7 @@
 }
 
 /// Writes the frames that are queued until no more can be.
-async fn write_all<S>(sink: &mut S, mut frames: mpsc::Receiver<Arc<Vec<u8>>>) -> Reason
+async fn send_frames<S>(sink: &mut S, mut frames: mpsc::Receiver<Arc<Vec<u8>>>) -> Reason
 where
     S: Sink<Message> + Unpin,
 {
--- a/crates/gateway/src/process/fleet/look.rs
+++ b/crates/gateway/src/process/fleet/look.rs
@@ -117,7 +117,7 @@
             if address == self.own.peers {
                 continue;
             }
-            if self.links.reaches(address) {
+            if self.links.has_link_to(address) {
                 dialled.remove(&address);
                 continue;
             }
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -114,7 +114,7 @@
             callers: settings.callers,
         };
         let (events, receiver) = mpsc::channel(BACKLOG);
-        let links = Links::open(own.clone(), process.metrics.traffic().clone(), events);
+        let links = Links::new(own.clone(), process.metrics.traffic().clone(), events);
         ntex::rt::spawn(Arc::clone(&links).listen(listener)).detach();
         let fleet = Arc::new(Self {
             began: process.clock.now(),
