--- a/crates/gateway/src/connection/traffic.rs
+++ b/crates/gateway/src/connection/traffic.rs
@@ -16,9 +16,9 @@
 
 impl Traffic {
     /// Counters of this meter.
-    pub(crate) fn open(meter: &Meter) -> Self {
-        let counter = |name: &'static str, what: &'static str| {
-            meter.u64_counter(name).with_description(what).build()
+    pub(crate) fn new(meter: &Meter) -> Self {
+        let counter = |name: &'static str, description: &'static str| {
+            meter.u64_counter(name).with_description(description).build()
         };
         Self {
             frames: counter("fireflyhoist.link_frames", "Frames of links by way and frame"),
--- a/crates/gateway/src/process/metrics.rs
+++ b/crates/gateway/src/process/metrics.rs
@@ -121,7 +121,7 @@
             suspects: gauge("fireflyhoist.held_requests", "Requests known to end their targets"),
             open: gauge("fireflyhoist.open_requests", "Requests in progress"),
             revision: gauge("fireflyhoist.revision", "Revision of the text in force"),
-            traffic: Traffic::open(&meter),
+            traffic: Traffic::new(&meter),
             registry,
             _provider: provider,
         })
