--- a/crates/gateway/tests/large_texts.rs
+++ b/crates/gateway/tests/large_texts.rs
@@ -13,7 +13,7 @@
 use fireflyhoist_policy::route::{Kind, Route, Text};
 use fireflyhoist_standin::registry::{Mood, Registry};
 use support::caller::Request;
-use support::narrow::Narrow;
+use support::proxy::Proxy;
 use support::target::{Standin, answer};
 use support::{behind, eventually, of_power, route, unready, until_ready};
 use tokio::time::{Instant, sleep};
@@ -46,14 +46,14 @@
 /// Two strong entries, and twelve weak ones that reach all else over narrow links.
 struct Fleet {
     leaves: Vec<Gateway>,
-    actives: Vec<(Gateway, Narrow)>,
-    to_registry: Narrow,
+    actives: Vec<(Gateway, Proxy)>,
+    to_registry: Proxy,
 }
 
 impl Fleet {
     /// Starts a fleet whose links are wide yet, and waits until all are linked.
     async fn open(registry: &Registry) -> Self {
-        let to_registry = Narrow::to(registry.address());
+        let to_registry = Proxy::to(registry.address());
         let mut seeds = Vec::new();
         let mut actives = Vec::new();
         for nth in 0..2 {
@@ -75,13 +75,13 @@
     }
 
     fn squeeze(&self) {
-        self.actives.iter().for_each(|(_, narrow)| narrow.squeeze(RATE));
-        self.to_registry.squeeze(RATE);
+        self.actives.iter().for_each(|(_, narrow)| narrow.throttle(RATE));
+        self.to_registry.throttle(RATE);
     }
 
     /// Links to the actives so far.
     fn links(&self) -> usize {
-        self.actives.iter().map(|(_, narrow)| narrow.opened()).sum()
+        self.actives.iter().map(|(_, narrow)| narrow.connections()).sum()
     }
 }
 
@@ -116,8 +116,8 @@
 async fn a_large_text_arrives_over_a_narrow_link_to_the_registry() {
     let registry = Registry::open().await;
     registry.publish(text(1, 400));
-    let narrow = Narrow::to(registry.address());
-    narrow.squeeze(RATE);
+    let narrow = Proxy::to(registry.address());
+    narrow.throttle(RATE);
     let entry = unready(narrow.address(), "entry-1", &[]).await;
     until_ready(&entry).await;
     assert!(knows(&entry, 399).await);
@@ -132,7 +132,7 @@
     registry.put(target.listed.clone());
     let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
-    narrow.squeeze(RATE);
+    narrow.throttle(RATE);
     let away = Registry::open().await;
     away.set_mood(Mood::Silent);
     let second = unready(away.address(), "entry-2", &[first.peers()]).await;
@@ -159,7 +159,7 @@
     }
     let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
-    narrow.squeeze(RATE);
+    narrow.throttle(RATE);
     let away = Registry::open().await;
     away.set_mood(Mood::Silent);
     let second = unready(away.address(), "entry-2", &[first.peers()]).await;
--- a/crates/gateway/tests/links.rs
+++ b/crates/gateway/tests/links.rs
@@ -25,13 +25,13 @@
 async fn metrics_tell_what_links_carry_and_why_they_end() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
-    let (first, link) = behind(registry.address(), "entry-1", &[], 1.0).await;
+    let (first, proxy) = behind(registry.address(), "entry-1", &[], 1.0).await;
     let second = unready(registry.address(), "entry-2", &[first.peers()]).await;
     until_ready(&second).await;
     let beats = r#"link_bytes_total{frame="beat",way="received"}"#;
     eventually(async || says(&second, beats).await).await;
     assert!(!says(&second, "links_lost_total{").await);
-    link.hold();
+    proxy.stall();
     eventually(async || says(&second, r#"links_lost_total{reason="silent"}"#).await).await;
     // The end that only wrote hears of it from the other.
     eventually(async || says(&first, r#"links_lost_total{reason="ended"}"#).await).await;
@@ -53,10 +53,10 @@
         let id = format!("t-{nth}").parse().expect("a name");
         registry.put(Target { id, ..standin.listed.clone() });
     }
-    let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
+    let (first, proxy) = behind(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
-    narrow.small_packets();
-    narrow.squeeze(40_000);
+    proxy.use_small_packets();
+    proxy.throttle(40_000);
     let away = Registry::open().await;
     away.set_mood(Mood::Silent);
     let mut others = Vec::new();
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 pub(crate) mod caller;
 pub(crate) mod mortal;
-pub(crate) mod narrow;
+pub(crate) mod proxy;
 pub(crate) mod target;
 
 use std::net::SocketAddr;
@@ -120,14 +120,14 @@
     name: &str,
     seeds: &[SocketAddr],
     power: f64,
-) -> (Gateway, narrow::Narrow) {
-    let (narrow, listening) = narrow::Narrow::open();
+) -> (Gateway, proxy::Proxy) {
+    let (proxy, pending) = proxy::Proxy::open();
     let own = settings(name, registry, seeds);
-    let (peers, peers_listen) = (narrow.address(), Some(own.peers));
+    let (peers, peers_listen) = (proxy.address(), Some(own.peers));
     let settings = Settings { power, peers, peers_listen, ..own };
     let gateway = Gateway::bind::<Native>(settings, PathBuf::from("none")).await.expect("gateway");
-    listening.lead(gateway.peers_listen());
-    (gateway, narrow)
+    pending.forward_to(gateway.peers_listen());
+    (gateway, proxy)
 }
 
 /// Starts a gateway that may never get ready.
