--- a/crates/gateway/tests/large_texts.rs
+++ b/crates/gateway/tests/large_texts.rs
@@ -15,7 +15,7 @@
 use support::caller::Request;
 use support::proxy::Proxy;
 use support::target::{Standin, answer};
-use support::{behind, eventually, of_power, route, unready, until_ready};
+use support::{eventually, route, start_behind_proxy, start_with_power, unready, until_ready};
 use tokio::time::{Instant, sleep};
 
 /// What one connection of a narrow host carries, in bytes a second.
@@ -57,14 +57,15 @@
         let mut seeds = Vec::new();
         let mut actives = Vec::new();
         for nth in 0..2 {
-            let active = behind(registry.address(), &format!("active-{nth}"), &seeds, 1.0).await;
+            let active =
+                start_behind_proxy(registry.address(), &format!("active-{nth}"), &seeds, 1.0).await;
             seeds.push(active.1.address());
             actives.push(active);
         }
         let mut leaves = Vec::new();
         for nth in 0..12 {
             let name = format!("leaf-{nth}");
-            leaves.push(of_power(to_registry.address(), &name, &seeds, 0.1).await);
+            leaves.push(start_with_power(to_registry.address(), &name, &seeds, 0.1).await);
         }
         for entry in leaves.iter().chain(actives.iter().map(|(active, _)| active)) {
             until_ready(entry).await;
@@ -130,7 +131,7 @@
     registry.publish(text(1, 400));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
     registry.put(target.listed.clone());
-    let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
+    let (first, narrow) = start_behind_proxy(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
     narrow.throttle(RATE);
     let away = Registry::open().await;
@@ -157,7 +158,7 @@
         let id = id.parse().expect("a name");
         registry.put(Target { id, ..standin.listed.clone() });
     }
-    let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
+    let (first, narrow) = start_behind_proxy(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
     narrow.throttle(RATE);
     let away = Registry::open().await;
--- a/crates/gateway/tests/links.rs
+++ b/crates/gateway/tests/links.rs
@@ -10,7 +10,7 @@
 use fireflyhoist_standin::registry::{Mood, Registry};
 use support::caller::Request;
 use support::target::{Standin, answer};
-use support::{behind, eventually, route, text, unready, until_ready};
+use support::{eventually, route, start_behind_proxy, text, unready, until_ready};
 use tokio::time::sleep;
 
 /// Whether the metrics of an entry have a line that begins so.
@@ -25,7 +25,7 @@
 async fn metrics_tell_what_links_carry_and_why_they_end() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
-    let (first, proxy) = behind(registry.address(), "entry-1", &[], 1.0).await;
+    let (first, proxy) = start_behind_proxy(registry.address(), "entry-1", &[], 1.0).await;
     let second = unready(registry.address(), "entry-2", &[first.peers()]).await;
     until_ready(&second).await;
     let beats = r#"link_bytes_total{frame="beat",way="received"}"#;
@@ -53,7 +53,7 @@
         let id = format!("t-{nth}").parse().expect("a name");
         registry.put(Target { id, ..standin.listed.clone() });
     }
-    let (first, proxy) = behind(registry.address(), "entry-1", &[], 1.0).await;
+    let (first, proxy) = start_behind_proxy(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
     proxy.use_small_packets();
     proxy.throttle(40_000);
--- a/crates/gateway/tests/poison.rs
+++ b/crates/gateway/tests/poison.rs
@@ -9,7 +9,7 @@
 use fireflyhoist_policy::route::{Kind, Route};
 use fireflyhoist_standin::registry::Registry;
 use support::caller::{Answer, Request};
-use support::mortal::{self, Toll};
+use support::restarting::{self, Crashes};
 use support::target::{Seen, Step, event, events, stream_end, stream_head};
 use support::{eventually, route, text, unready, until_ready};
 use yare::parameterized;
@@ -35,7 +35,7 @@
 
 struct World {
     registry: Arc<Registry>,
-    toll: Toll,
+    toll: Crashes,
     entries: Vec<Gateway>,
 }
 
@@ -45,9 +45,9 @@
         let registry = Arc::new(Registry::open().await);
         let route = Route { attempts: 2, ..route("gen", kind) };
         registry.publish(text(1, vec![route]));
-        let toll = Toll::default();
+        let toll = Crashes::default();
         for name in ["a", "b", "c", "d"] {
-            mortal::spawn(&registry, &toll, name, serve);
+            restarting::spawn(&registry, &toll, name, serve);
         }
         let mut world = Self { registry, toll, entries: Vec::new() };
         for _ in 0..entries {
@@ -76,7 +76,7 @@
     /// Asks for the poison until three targets have ended and all entries have had time to hear.
     async fn condemn(&self) {
         for entry in (0..self.entries.len()).cycle() {
-            if self.toll.ends() >= 3 {
+            if self.toll.count() >= 3 {
                 break;
             }
             self.ask(entry, POISON).await;
@@ -96,12 +96,12 @@
 async fn a_request_that_ends_its_targets_is_sent_no_more(entries: usize, kind: Kind) {
     let world = World::open(entries, kind).await;
     world.condemn().await;
-    let ended = world.toll.ends();
+    let ended = world.toll.count();
     for nth in 0..10 {
         world.ask(nth % entries, POISON).await;
         tokio::time::sleep(PAUSE).await;
     }
-    let more = world.toll.ends() - ended;
+    let more = world.toll.count() - ended;
     assert!(more <= MORE, "{more} more targets ended");
     let refused = world.ask(0, POISON).await;
     assert_eq!(refused.status, 503, "{refused:?}");
@@ -119,10 +119,10 @@
     for nth in 0..4 {
         world.ask(nth % 2, POISON).await;
     }
-    let ended = world.toll.ends();
+    let ended = world.toll.count();
     world.join().await;
     for _ in 0..6 {
         assert_eq!(world.ask(2, POISON).await.status, 503);
     }
-    assert_eq!(world.toll.ends(), ended);
+    assert_eq!(world.toll.count(), ended);
 }
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -10,7 +10,7 @@
 use fireflyhoist_standin::registry::{Mood, Registry};
 use support::caller::Request;
 use support::target::{Standin, answer, listed};
-use support::{of_power, route, text, unready, until_ready};
+use support::{route, start_with_power, text, unready, until_ready};
 
 /// Strong entries, which are to carry the traffic.
 const STRONG: usize = 6;
@@ -35,13 +35,13 @@
     let mut seeds = Vec::new();
     for n in 0..3 {
         // Each knows those before it, as they have ports of their own.
-        let seed = of_power(registry.address(), &format!("seed-{n}"), &seeds, 0.5).await;
+        let seed = start_with_power(registry.address(), &format!("seed-{n}"), &seeds, 0.5).await;
         seeds.push(seed.peers());
         gateways.push(seed);
     }
     for n in 0..more {
         let power = if n < strong { 0.5 } else { 0.1 };
-        gateways.push(of_power(registry.address(), &format!("e-{n}"), &seeds, power).await);
+        gateways.push(start_with_power(registry.address(), &format!("e-{n}"), &seeds, power).await);
     }
     for gateway in &gateways {
         until_ready(gateway).await;
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -76,7 +76,7 @@
     let answer = Request::stream("/gen/x", 20).body("b").send(gateway.callers()).await;
     assert_eq!((answer.status, answer.body), (200, events(1, 2)));
     assert!(!answer.whole);
-    assert_eq!(answer.surplus, 0);
+    assert_eq!(answer.trailing_bytes, 0);
 }
 
 /// A village is mapped half and then never: the engine broke off, and the kind of request may be
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-use super::{KEY, PATIENCE};
+use super::{KEY, TEST_TIMEOUT};
 
 /// A request as bytes.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
     /// Whether the body had come to its framed end.
     pub(crate) whole: bool,
     /// Bytes after the answer.
-    pub(crate) surplus: usize,
+    pub(crate) trailing_bytes: usize,
     /// From the first byte sent to the end.
     pub(crate) took: Duration,
 }
@@ -94,13 +94,13 @@
 
     /// Sends the request and reads until the connection ends.
     pub(crate) async fn send(&self, to: SocketAddr) -> Answer {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut stream = self.open(to).await;
         let mut bytes = Vec::new();
         // A reset is an end as well; what came before counts.
-        let _ = timeout(PATIENCE, stream.read_to_end(&mut bytes)).await;
+        let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut bytes)).await;
         let mut answer = parse(&bytes);
-        answer.took = began.elapsed();
+        answer.took = started.elapsed();
         answer
     }
 }
@@ -114,11 +114,11 @@
     let rest = &bytes[end + 4..];
     let mut answer = Answer { status, head, ..Answer::default() };
     if answer.header("transfer-encoding").is_some_and(|value| value.contains("chunked")) {
-        (answer.body, answer.whole, answer.surplus) = dechunk(rest);
+        (answer.body, answer.whole, answer.trailing_bytes) = dechunk(rest);
     } else {
         let length = answer.header("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
         answer.whole = rest.len() >= length;
-        answer.surplus = rest.len().saturating_sub(length);
+        answer.trailing_bytes = rest.len().saturating_sub(length);
         answer.body = String::from_utf8_lossy(&rest[..rest.len().min(length)]).into_owned();
     }
     answer
@@ -133,8 +133,8 @@
         };
         rest = &rest[line + 2..];
         if size == 0 {
-            let surplus = rest.len().saturating_sub(2);
-            return (String::from_utf8_lossy(&body).into_owned(), true, surplus);
+            let trailing_bytes = rest.len().saturating_sub(2);
+            return (String::from_utf8_lossy(&body).into_owned(), true, trailing_bytes);
         }
         body.extend_from_slice(&rest[..size.min(rest.len())]);
         if rest.len() < size + 2 {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub(crate) mod caller;
-pub(crate) mod mortal;
 pub(crate) mod proxy;
+pub(crate) mod restarting;
 pub(crate) mod target;
 
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use fireflyhoist_standin::registry::Registry;
 
 /// How long anything may take before a test gives up; generous, since no verdict rests on it.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The key that callers of the one workspace show.
 pub(crate) const KEY: &str = "k-1";
@@ -104,7 +104,7 @@
 }
 
 /// Starts a gateway of so many cores.
-pub(crate) async fn of_power(
+pub(crate) async fn start_with_power(
     registry: SocketAddr,
     name: &str,
     seeds: &[SocketAddr],
@@ -115,7 +115,7 @@
 }
 
 /// Starts a gateway of so many cores that others reach over a narrow link.
-pub(crate) async fn behind(
+pub(crate) async fn start_behind_proxy(
     registry: SocketAddr,
     name: &str,
     seeds: &[SocketAddr],
@@ -144,7 +144,7 @@
 
 /// Waits until something holds.
 pub(crate) async fn eventually(mut holds: impl AsyncFnMut() -> bool) {
-    let end = tokio::time::Instant::now() + PATIENCE;
+    let end = tokio::time::Instant::now() + TEST_TIMEOUT;
     while !holds().await {
         assert!(tokio::time::Instant::now() < end, "it holds in time");
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/gateway/tests/support/mortal.rs
+++ b/crates/gateway/tests/support/restarting.rs
@@ -11,29 +11,29 @@
 use super::target::{Seen, Standin, Step};
 
 /// From the end of a target until the next one starts at its address.
-const RESTART: Duration = Duration::from_millis(200);
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
 /// What all targets of a test saw.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Toll {
-    ends: Arc<AtomicUsize>,
+pub(crate) struct Crashes {
+    count: Arc<AtomicUsize>,
 }
 
-impl Toll {
+impl Crashes {
     /// How many targets have ended.
-    pub(crate) fn ends(&self) -> usize {
-        self.ends.load(Ordering::SeqCst)
+    pub(crate) fn count(&self) -> usize {
+        self.count.load(Ordering::SeqCst)
     }
 }
 
 /// Keeps a target up at one address; `script` says what each start does.
 pub(crate) fn spawn(
     registry: &Arc<Registry>,
-    toll: &Toll,
+    crashes: &Crashes,
     name: &'static str,
     script: impl Fn(&Seen) -> Vec<Step> + Clone + Send + Sync + 'static,
 ) {
-    let (registry, toll) = (Arc::clone(registry), toll.clone());
+    let (registry, crashes) = (Arc::clone(registry), crashes.clone());
     tokio::task::spawn_local(async move {
         let mut address = "127.0.0.1:0".parse().expect("an address");
         for start in 0.. {
@@ -42,12 +42,12 @@
             let name = format!("{name}-{start}");
             let target = Standin::on(listener, &name, "gen", script.clone());
             registry.put(target.listed.clone());
-            while !target.is_over() {
+            while !target.has_ended() {
                 sleep(Duration::from_millis(5)).await;
             }
-            toll.ends.fetch_add(1, Ordering::SeqCst);
+            crashes.count.fetch_add(1, Ordering::SeqCst);
             registry.remove(&target.listed);
-            sleep(RESTART).await;
+            sleep(RESTART_DELAY).await;
         }
     });
 }
--- a/crates/gateway/tests/support/target.rs
+++ b/crates/gateway/tests/support/target.rs
@@ -107,7 +107,7 @@
     }
 
     /// Whether it has ended.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_ended(&self) -> bool {
         self.tasks.lock().is_empty()
     }
 
--- a/crates/gateway/tests/texts.rs
+++ b/crates/gateway/tests/texts.rs
@@ -8,7 +8,7 @@
 use fireflyhoist_standin::registry::{Mood, Registry};
 use support::caller::Request;
 use support::target::{Standin, answer};
-use support::{eventually, gateway, of_power, route, text, unready, until_ready};
+use support::{eventually, gateway, route, start_with_power, text, unready, until_ready};
 
 fn web() -> Route {
     route("web", Kind::Unsafe)
@@ -153,7 +153,7 @@
     let mut seeds = Vec::new();
     for nth in 0..14 {
         let power = if nth < 2 { 1.0 } else { 0.1 };
-        let entry = of_power(registry.address(), &format!("e-{nth}"), &seeds, power).await;
+        let entry = start_with_power(registry.address(), &format!("e-{nth}"), &seeds, power).await;
         if nth < 2 {
             seeds.push(entry.peers());
         }
