--- a/crates/gateway/tests/answers.rs
+++ b/crates/gateway/tests/answers.rs
@@ -21,15 +21,15 @@
     /// Is reset, without having given a length.
     UnframedReset,
     /// Ends before the length that it gave.
-    Short,
+    Truncated,
     /// Sends bytes that are no response.
     Garbage,
     /// Answers another request.
-    Crossed,
+    MismatchedId,
     /// Reads the request and hangs up.
-    HangsUp,
+    Reset,
     /// Says that it did not run it.
-    Declines,
+    Declined,
 }
 
 impl Fault {
@@ -41,18 +41,18 @@
                 let pause = Step::Wait(Duration::from_millis(30));
                 vec![write(HEAD), write("connection: close\r\n\r\nhel"), pause, Step::Reset]
             }
-            Self::Short => vec![write(HEAD), write("content-length: 5\r\n\r\nhel")],
+            Self::Truncated => vec![write(HEAD), write("content-length: 5\r\n\r\nhel")],
             Self::Garbage => vec![write("\u{1}\u{2} not http at all\r\n\r\n")],
-            Self::Crossed => vec![write(
+            Self::MismatchedId => vec![write(
                 "HTTP/1.1 200 OK\r\nfireflyhoist-request: r-0\r\ncontent-length: 5\r\n\r\nother",
             )],
-            Self::HangsUp => vec![Step::Reset],
-            Self::Declines => declined(),
+            Self::Reset => vec![Step::Reset],
+            Self::Declined => declined(),
         }
     }
 }
 
-async fn ask(kind: Kind, fault: Fault) -> (Answer, Vec<Seen>) {
+async fn send(kind: Kind, fault: Fault) -> (Answer, Vec<Seen>) {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", kind)]));
     // Both play by one count, so that the second request is answered wherever it goes.
@@ -77,15 +77,15 @@
 /// again is, and the caller sees only the whole one.
 #[parameterized(
     unframed_reset = { Fault::UnframedReset },
-    short = { Fault::Short },
+    truncated = { Fault::Truncated },
     garbage = { Fault::Garbage },
-    crossed = { Fault::Crossed },
-    hangs_up = { Fault::HangsUp },
-    declines = { Fault::Declines },
+    mismatched_id = { Fault::MismatchedId },
+    reset = { Fault::Reset },
+    declined = { Fault::Declined },
 )]
 #[test_macro(ntex::test)]
-async fn an_idempotent_request_gets_the_second_targets_whole_answer(fault: Fault) {
-    let (answer, seen) = ask(Kind::Safe, fault).await;
+async fn an_idempotent_request_is_retried_at_another_target(fault: Fault) {
+    let (answer, seen) = send(Kind::Safe, fault).await;
     assert_eq!((answer.status, answer.body.as_str(), answer.whole), (200, "hello", true));
     assert_eq!(seen.len(), 2);
 }
@@ -95,14 +95,14 @@
 /// had the request, so nobody can tell whether it ran: it is sent once, and the answer says so.
 #[parameterized(
     unframed_reset = { Fault::UnframedReset },
-    short = { Fault::Short },
+    truncated = { Fault::Truncated },
     garbage = { Fault::Garbage },
-    crossed = { Fault::Crossed },
-    hangs_up = { Fault::HangsUp },
+    mismatched_id = { Fault::MismatchedId },
+    reset = { Fault::Reset },
 )]
 #[test_macro(ntex::test)]
-async fn a_request_that_may_not_run_twice_is_sent_once(fault: Fault) {
-    let (answer, seen) = ask(Kind::Unsafe, fault).await;
+async fn a_non_idempotent_request_is_sent_once(fault: Fault) {
+    let (answer, seen) = send(Kind::Unsafe, fault).await;
     assert_eq!(answer.status, 502);
     assert!(answer.body.contains("\"ran\":\"unknown\""), "{}", answer.body);
     assert_eq!(seen.len(), 1);
@@ -112,7 +112,7 @@
 /// not run it, which makes a second attempt safe for any request.
 #[ntex::test]
 async fn a_declined_request_goes_to_another_target() {
-    let (answer, seen) = ask(Kind::Unsafe, Fault::Declines).await;
+    let (answer, seen) = send(Kind::Unsafe, Fault::Declined).await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "hello"));
     assert_eq!(seen.len(), 2);
 }
@@ -120,8 +120,8 @@
 /// A service that never gives lengths seems to be down: its answers end with their connections, and
 /// an orderly end is the end of a whole answer.
 #[ntex::test]
-async fn an_answer_without_a_length_that_ends_in_order_is_whole() {
-    let (answer, seen) = ask(Kind::Unsafe, Fault::Unframed).await;
+async fn an_answer_that_ends_with_an_orderly_close_is_complete() {
+    let (answer, seen) = send(Kind::Unsafe, Fault::Unframed).await;
     assert_eq!((answer.status, answer.body.as_str(), answer.whole), (200, "hello", true));
     assert_eq!(seen.len(), 1);
 }
@@ -129,7 +129,7 @@
 /// A caller that checks receipts finds the entry's own failure under a target's receipt, or a
 /// target's failure turned into another. A target's failure goes back as it is.
 #[ntex::test]
-async fn a_targets_own_failure_goes_back_unchanged() {
+async fn an_error_response_of_a_target_is_passed_on_unchanged() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let target = Standin::open("t-1", "web", |_| answer(418, "teapot")).await;
@@ -142,7 +142,7 @@
 
 /// Every target is full: the caller is told at once that nothing ran and when to come back.
 #[ntex::test]
-async fn a_request_that_every_target_declines_is_refused_with_a_time() {
+async fn a_request_declined_by_every_target_gets_a_retry_time() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let target = Standin::open("t-1", "web", |_| declined()).await;
@@ -159,13 +159,13 @@
 /// A target is listed and gone: nothing listens there. No byte was written, so even a request that
 /// may not run twice goes to the other.
 #[ntex::test]
-async fn a_request_that_reached_nobody_goes_to_another_target() {
+async fn a_request_that_could_not_connect_goes_to_another_target() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let gone = free.local_addr().expect("bound");
+    let closed = free.local_addr().expect("bound");
     drop(free);
-    registry.put(support::target::listed("t-0", "web", gone));
+    registry.put(support::target::listed("t-0", "web", closed));
     let target = Standin::open("t-1", "web", |_| answer(200, "hello")).await;
     registry.put(target.listed.clone());
     let gateway = gateway(&registry).await;
@@ -178,7 +178,7 @@
 /// A lookup is refused as not run although a target may have run it: both targets hung up after
 /// they had the request. A refusal that says that nothing ran must be true for every kind.
 #[ntex::test]
-async fn a_request_that_may_have_run_is_never_refused_as_unrun() {
+async fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Safe)]));
     for name in ["t-1", "t-2"] {
--- a/crates/gateway/tests/broken.rs
+++ b/crates/gateway/tests/broken_runs.rs
@@ -11,9 +11,9 @@
 use yare::parameterized;
 
 const SAFE: Kind = Kind::Safe;
-const PAGE: Kind = Kind::Stream { resumable: false };
+const STREAM: Kind = Kind::Stream { resumable: false };
 
-async fn count(gateway: &Gateway, fate: &str) -> String {
+async fn broken_runs(gateway: &Gateway, fate: &str) -> String {
     let page = Request::get("/metrics").send(gateway.metrics()).await.body;
     let start = format!("fireflyhoist_broken_runs_total{{target=\"{fate}\"}} ");
     let found = page.lines().find_map(|line| line.strip_prefix(start.as_str()).map(str::to_owned));
@@ -23,12 +23,12 @@
 /// Guards against a target that ended being taken for one whose connection was reset.
 #[parameterized(
     ends_before_its_head = { SAFE, vec![Step::End], "ended" },
-    ends_within_a_stream = { PAGE, vec![stream_head(), event(1), Step::End], "ended" },
+    ends_within_a_stream = { STREAM, vec![stream_head(), event(1), Step::End], "ended" },
     resets_before_its_head = { SAFE, vec![Step::Reset], "lives" },
-    resets_within_a_stream = { PAGE, vec![stream_head(), event(1), Step::Reset], "lives" },
+    resets_within_a_stream = { STREAM, vec![stream_head(), event(1), Step::Reset], "lives" },
 )]
 #[test_macro(ntex::test)]
-async fn a_target_that_ended_is_told_from_one_that_lives(
+async fn an_ended_target_is_distinguished_from_a_live_one(
     kind: Kind,
     script: Vec<Step>,
     fate: &'static str,
@@ -39,12 +39,12 @@
     registry.put(target.listed.clone());
     let gateway = gateway(&registry).await;
     let _ = Request::stream("/web/x", 20).body("b").send(gateway.callers()).await;
-    eventually(async || !count(&gateway, fate).await.is_empty()).await;
+    eventually(async || !broken_runs(&gateway, fate).await.is_empty()).await;
 }
 
 /// Guards against a target with a failure of its own being counted as one that broke off.
 #[ntex::test]
-async fn an_answer_of_failure_breaks_nothing_off() {
+async fn an_error_response_is_not_a_broken_run() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let target = Standin::open("t-1", "web", |_| answer(500, "no")).await;
@@ -53,7 +53,7 @@
     let answer = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
     assert_eq!(answer.status, 500);
     for fate in ["ended", "lives", "leaving"] {
-        assert_eq!(count(&gateway, fate).await, "");
+        assert_eq!(broken_runs(&gateway, fate).await, "");
     }
 }
 
@@ -71,7 +71,7 @@
     let page = async || Request::get("/metrics").send(gateway.metrics()).await.body;
     for nth in 0..3 {
         let _ = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
-        eventually(async || count(&gateway, "lives").await == (nth + 1).to_string()).await;
+        eventually(async || broken_runs(&gateway, "lives").await == (nth + 1).to_string()).await;
         // The next start is listed, and the one before no more.
         let next = Standin::open(&format!("t-{}", nth + 1), "web", script).await;
         registry.put(next.listed.clone());
@@ -84,7 +84,7 @@
 
 /// Guards against a target that ended being taken for one that left once another answers at its address.
 #[ntex::test]
-async fn a_target_whose_address_is_another_s_has_ended() {
+async fn a_target_whose_address_was_taken_over_has_ended() {
     let registry = Registry::open().await;
     let web = Route { attempts: 1, ..route("web", Kind::Unsafe) };
     registry.publish(text(1, vec![web]));
@@ -103,7 +103,7 @@
             Request::new("POST", "/web/x").body(body).send(gateway.callers()).await
         };
         ask("b").await;
-        eventually(async || count(&gateway, "lives").await == (nth + 1).to_string()).await;
+        eventually(async || broken_runs(&gateway, "lives").await == (nth + 1).to_string()).await;
         // Past the pause after a failure.
         eventually(async || ask("c").await.body.contains("declined")).await;
         let next = Standin::open(&format!("t-{}", nth + 1), "web", script).await;
--- a/crates/gateway/tests/cold.rs
+++ b/crates/gateway/tests/cold.rs
@@ -20,29 +20,29 @@
 use yare::parameterized;
 
 /// Requests a second that a cold target takes.
-const TAKES: f64 = 2.0;
+const COLD_REQUESTS_PER_S: f64 = 2.0;
 
 /// The most that it may get in a second: one and a half times as many, and one.
-const MOST: usize = 4;
+const MAX_PER_SECOND: usize = 4;
 
 /// For how long targets are cold after a start.
-const COLD: Duration = Duration::from_secs(3);
+const COLD_PERIOD: Duration = Duration::from_secs(3);
 
 /// Between two requests of the same caller.
-const PAUSE: Duration = Duration::from_millis(15);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
 /// A target that notes when requests reach it.
-struct Noted {
+struct Recorder {
     listed: Target,
     arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl Noted {
+impl Recorder {
     async fn open(name: &str, at: &str) -> Self {
         let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let noted = Arc::clone(&arrivals);
+        let recorded = Arc::clone(&arrivals);
         let script = move |_: &support::target::Seen| {
-            noted.lock().push(Instant::now());
+            recorded.lock().push(Instant::now());
             answer(200, "ok")
         };
         let mut listed = Standin::open(name, "web", script).await.listed;
@@ -51,7 +51,7 @@
     }
 
     fn cold(&self, renewal: u64) -> Target {
-        let cold_ms = u64::try_from(COLD.as_millis()).expect("milliseconds");
+        let cold_ms = u64::try_from(COLD_PERIOD.as_millis()).expect("milliseconds");
         Target { cold_ms, renewal, ..self.listed.clone() }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// The most in any second.
-    fn most(&self) -> usize {
+    fn peak(&self) -> usize {
         let arrivals = self.arrivals.lock();
         let within = |(nth, first): (usize, &Instant)| {
             arrivals[nth..].iter().take_while(|at| **at <= *first + Duration::from_secs(1)).count()
@@ -73,7 +73,8 @@
     let registry = Registry::open().await;
     let web = Route { objective: Duration::from_millis(500), ..route("web", Kind::Safe) };
     let mut text = text(1, vec![web]);
-    text.services[0].warmup = Some(Warmup { lasts: COLD, per_s: RequestRate::new(TAKES) });
+    text.services[0].warmup =
+        Some(Warmup { lasts: COLD_PERIOD, per_s: RequestRate::new(COLD_REQUESTS_PER_S) });
     registry.publish(text);
     registry
 }
@@ -98,7 +99,7 @@
 }
 
 /// Asks at all entries for a while.
-async fn ask(fleet: &[Gateway], lasts: Duration) -> usize {
+async fn send_for(fleet: &[Gateway], lasts: Duration) -> usize {
     let end = Instant::now() + lasts;
     let mut served = 0;
     for entry in fleet.iter().cycle() {
@@ -108,7 +109,7 @@
         let answer = Request::new("POST", "/web/x").body("b").send(entry.callers()).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         served += 1;
-        sleep(PAUSE).await;
+        sleep(REQUEST_INTERVAL).await;
     }
     served
 }
@@ -116,67 +117,67 @@
 /// Guards against cold targets, which look emptiest to every entry, getting all that waits.
 #[parameterized(one_entry = { 1 }, three_entries = { 3 })]
 #[test_macro(ntex::test)]
-async fn targets_that_come_back_cold_get_little(entries: usize) {
+async fn cold_targets_are_rate_limited(entries: usize) {
     let registry = registry().await;
-    let warm = Noted::open("web-1", "a").await;
+    let warm = Recorder::open("web-1", "a").await;
     registry.put(warm.listed.clone());
     let fleet = fleet(&registry, entries).await;
-    let cold = [Noted::open("web-2", "b").await, Noted::open("web-3", "b").await];
+    let cold = [Recorder::open("web-2", "b").await, Recorder::open("web-3", "b").await];
     cold.iter().for_each(|target| registry.put(target.cold(1)));
-    let served = ask(&fleet, COLD.mul_f64(0.8)).await;
+    let served = send_for(&fleet, COLD_PERIOD.mul_f64(0.8)).await;
     for target in &cold {
-        assert!(target.most() <= MOST, "{} in a second", target.most());
+        assert!(target.peak() <= MAX_PER_SECOND, "{} in a second", target.peak());
         assert!(target.count() >= 1, "of {served}");
     }
-    sleep(COLD).await;
-    let before: usize = cold.iter().map(Noted::count).sum();
-    let served = ask(&fleet, Duration::from_secs(1)).await;
-    let after: usize = cold.iter().map(Noted::count).sum();
+    sleep(COLD_PERIOD).await;
+    let before: usize = cold.iter().map(Recorder::count).sum();
+    let served = send_for(&fleet, Duration::from_secs(1)).await;
+    let after: usize = cold.iter().map(Recorder::count).sum();
     assert!(after - before > served / 3, "{} of {served}", after - before);
 }
 
 /// Guards against a target that becomes cold without a restart being taken for warm.
 #[ntex::test]
-async fn a_target_that_is_cold_again_gets_little() {
+async fn a_target_that_becomes_cold_again_is_rate_limited() {
     let registry = registry().await;
-    let (warm, again) = (Noted::open("web-1", "a").await, Noted::open("web-2", "a").await);
+    let (warm, again) = (Recorder::open("web-1", "a").await, Recorder::open("web-2", "a").await);
     registry.put(warm.listed.clone());
     registry.put(again.listed.clone());
     let fleet = fleet(&registry, 2).await;
-    ask(&fleet, Duration::from_millis(500)).await;
+    send_for(&fleet, Duration::from_millis(500)).await;
     registry.put(again.cold(2));
     // The word takes its way.
     sleep(Duration::from_millis(300)).await;
     again.arrivals.lock().clear();
-    ask(&fleet, COLD / 2).await;
-    assert!(again.most() <= MOST, "{} in a second", again.most());
+    send_for(&fleet, COLD_PERIOD / 2).await;
+    assert!(again.peak() <= MAX_PER_SECOND, "{} in a second", again.peak());
 }
 
 /// Guards against a domain whose cordon is lifted getting a rush before leases say that it is cold.
 #[ntex::test]
-async fn a_domain_that_comes_back_is_taken_for_cold() {
+async fn a_domain_whose_cordon_is_lifted_is_treated_as_cold() {
     let registry = registry().await;
-    let (open, back) = (Noted::open("web-1", "a").await, Noted::open("web-2", "b").await);
+    let (open, returned) = (Recorder::open("web-1", "a").await, Recorder::open("web-2", "b").await);
     registry.put(open.listed.clone());
-    registry.put(back.listed.clone());
+    registry.put(returned.listed.clone());
     let domain = "b".parse().expect("a name");
     registry.cordon(&domain);
     let fleet = fleet(&registry, 2).await;
-    ask(&fleet, Duration::from_millis(300)).await;
-    assert_eq!(back.count(), 0);
+    send_for(&fleet, Duration::from_millis(300)).await;
+    assert_eq!(returned.count(), 0);
     registry.lift(&domain);
-    ask(&fleet, Duration::from_secs(2)).await;
-    assert!(back.most() <= MOST, "{} in a second", back.most());
+    send_for(&fleet, Duration::from_secs(2)).await;
+    assert!(returned.peak() <= MAX_PER_SECOND, "{} in a second", returned.peak());
 }
 
 /// Guards against entries that start among cold targets sending before they know.
 #[ntex::test]
 async fn entries_that_start_know_which_targets_are_cold() {
     let registry = registry().await;
-    let (warm, cold) = (Noted::open("web-1", "a").await, Noted::open("web-2", "b").await);
+    let (warm, cold) = (Recorder::open("web-1", "a").await, Recorder::open("web-2", "b").await);
     registry.put(warm.listed.clone());
     registry.put(cold.cold(1));
     let fleet = fleet(&registry, 3).await;
-    ask(&fleet, Duration::from_millis(800)).await;
-    assert!(cold.most() <= MOST, "{} in a second", cold.most());
+    send_for(&fleet, Duration::from_millis(800)).await;
+    assert!(cold.peak() <= MAX_PER_SECOND, "{} in a second", cold.peak());
 }
--- a/crates/gateway/tests/cordons.rs
+++ b/crates/gateway/tests/cordons.rs
@@ -15,10 +15,11 @@
 use yare::parameterized;
 
 /// Within which every entry must know what the registry tells.
-const KNOWN: Duration = Duration::from_secs(1);
+const PROPAGATION: Duration = Duration::from_secs(1);
 
 /// A registry where nothing listens.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+const UNREACHABLE: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
 fn domain(name: &str) -> id::Domain {
     name.parse().expect("a name")
@@ -64,15 +65,15 @@
     fleet
 }
 
-async fn ask(entry: &Gateway) -> Answer {
+async fn send(entry: &Gateway) -> Answer {
     Request::new("POST", "/web/x").body("b").send(entry.callers()).await
 }
 
 /// Asks each entry some times and returns how many reached a target.
-async fn reach(fleet: &[Gateway], target: &Standin) -> usize {
+async fn count_reached(fleet: &[Gateway], target: &Standin) -> usize {
     let before = target.seen().len();
     for entry in fleet.iter().cycle().take(8 * fleet.len()) {
-        assert_eq!(ask(entry).await.status, 200);
+        assert_eq!(send(entry).await.status, 200);
     }
     target.seen().len() - before
 }
@@ -83,25 +84,25 @@
 async fn a_cordoned_domain_gets_nothing_until_it_is_lifted(entries: usize) {
     let registry = registry().await;
     let _open = lookup_target(&registry, "web-1", "a").await;
-    let closed = lookup_target(&registry, "web-2", "b").await;
+    let cordoned_target = lookup_target(&registry, "web-2", "b").await;
     let fleet = fleet(&registry, entries).await;
-    assert!(reach(&fleet, &closed).await > 0);
+    assert!(count_reached(&fleet, &cordoned_target).await > 0);
     registry.cordon(&domain("b"));
     registry.cordon(&domain("nobody-knows-it"));
-    tokio::time::sleep(KNOWN).await;
-    assert_eq!(reach(&fleet, &closed).await, 0);
+    tokio::time::sleep(PROPAGATION).await;
+    assert_eq!(count_reached(&fleet, &cordoned_target).await, 0);
     registry.lift(&domain("b"));
-    tokio::time::sleep(KNOWN).await;
-    assert!(reach(&fleet, &closed).await > 0);
+    tokio::time::sleep(PROPAGATION).await;
+    assert!(count_reached(&fleet, &cordoned_target).await > 0);
 }
 
 /// Guards against the last of several changes within a second being missed.
 #[parameterized(ends_cordoned = { true }, ends_lifted = { false })]
 #[test_macro(ntex::test)]
-async fn changes_in_quick_succession_end_as_the_last_one_says(cordoned: bool) {
+async fn the_last_of_several_quick_changes_is_in_force(cordoned: bool) {
     let registry = registry().await;
     let _open = lookup_target(&registry, "web-1", "a").await;
-    let closed = lookup_target(&registry, "web-2", "b").await;
+    let cordoned_target = lookup_target(&registry, "web-2", "b").await;
     let fleet = fleet(&registry, 2).await;
     for nth in 0..7 {
         if (nth % 2 == 0) == cordoned {
@@ -111,8 +112,8 @@
         }
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
-    tokio::time::sleep(KNOWN).await;
-    assert_eq!(reach(&fleet, &closed).await == 0, cordoned);
+    tokio::time::sleep(PROPAGATION).await;
+    assert_eq!(count_reached(&fleet, &cordoned_target).await == 0, cordoned);
 }
 
 /// Guards against a removal that falls into history that the registry has dropped, or a lost answer.
@@ -121,17 +122,17 @@
     answers_lost = { false },
 )]
 #[test_macro(ntex::test)]
-async fn a_change_that_no_watch_tells_is_read_from_the_list(dropped: bool) {
+async fn a_change_missed_by_the_watch_is_read_from_the_list(dropped: bool) {
     let registry = registry().await;
     let _open = lookup_target(&registry, "web-1", "a").await;
-    let closed = lookup_target(&registry, "web-2", "b").await;
+    let cordoned_target = lookup_target(&registry, "web-2", "b").await;
     let other = lookup_target(&registry, "web-3", "c").await;
     registry.cordon(&domain("b"));
     let fleet = fleet(&registry, 2).await;
-    assert_eq!(reach(&fleet, &closed).await, 0);
+    assert_eq!(count_reached(&fleet, &cordoned_target).await, 0);
     if dropped {
         registry.set_mood(Mood::Busy);
-        tokio::time::sleep(KNOWN / 4).await;
+        tokio::time::sleep(PROPAGATION / 4).await;
     }
     registry.lift(&domain("b"));
     registry.cordon(&domain("c"));
@@ -142,9 +143,9 @@
         registry.lose_calls();
     }
     // A lost answer is noticed when its watch is overdue.
-    tokio::time::sleep(KNOWN * 3).await;
-    assert!(reach(&fleet, &closed).await > 0);
-    assert_eq!(reach(&fleet, &other).await, 0);
+    tokio::time::sleep(PROPAGATION * 3).await;
+    assert!(count_reached(&fleet, &cordoned_target).await > 0);
+    assert_eq!(count_reached(&fleet, &other).await, 0);
 }
 
 /// Guards against a registry that comes back from a copy opening a domain, or keeping one closed.
@@ -153,10 +154,10 @@
     copy_still_has_it = { false },
 )]
 #[test_macro(ntex::test)]
-async fn a_registry_from_an_older_copy_opens_nothing(lacks: bool) {
+async fn a_registry_restored_from_an_older_copy_changes_no_cordon(lacks: bool) {
     let registry = registry().await;
     let _open = lookup_target(&registry, "web-1", "a").await;
-    let closed = lookup_target(&registry, "web-2", "b").await;
+    let cordoned_target = lookup_target(&registry, "web-2", "b").await;
     let then = |registry: &Registry| match lacks {
         true => registry.cordon(&domain("b")),
         false => registry.lift(&domain("b")),
@@ -167,36 +168,36 @@
     let copy = registry.copy();
     let fleet = fleet(&registry, 2).await;
     then(&registry);
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     registry.set_mood(Mood::Busy);
     tokio::time::sleep(Duration::from_millis(300)).await;
     registry.restore(copy);
     registry.set_mood(Mood::Well);
     // The operator's tool writes it again only after entries have read.
-    tokio::time::sleep(KNOWN).await;
+    tokio::time::sleep(PROPAGATION).await;
     if lacks {
-        assert_eq!(reach(&fleet, &closed).await, 0);
+        assert_eq!(count_reached(&fleet, &cordoned_target).await, 0);
     }
     then(&registry);
-    tokio::time::sleep(KNOWN * 2).await;
-    assert_eq!(reach(&fleet, &closed).await == 0, lacks);
+    tokio::time::sleep(PROPAGATION * 2).await;
+    assert_eq!(count_reached(&fleet, &cordoned_target).await == 0, lacks);
 }
 
 /// Guards against an entry that starts, or that the registry turns away, sending to a cordoned domain.
-#[parameterized(starts = { true }, turned_away = { false })]
+#[parameterized(starts = { true }, registry_unreachable = { false })]
 #[test_macro(ntex::test)]
-async fn an_entry_that_joins_knows_before_it_takes_callers(reads: bool) {
+async fn a_joining_entry_knows_cordons_before_it_is_ready(reads: bool) {
     let registry = registry().await;
     let _open = lookup_target(&registry, "web-1", "a").await;
-    let closed = lookup_target(&registry, "web-2", "b").await;
+    let cordoned_target = lookup_target(&registry, "web-2", "b").await;
     registry.cordon(&domain("b"));
     let mut fleet = fleet(&registry, 2).await;
-    join(&mut fleet, if reads { registry.address() } else { NOWHERE }).await;
-    assert_eq!(reach(&fleet[2..], &closed).await, 0);
+    join(&mut fleet, if reads { registry.address() } else { UNREACHABLE }).await;
+    assert_eq!(count_reached(&fleet[2..], &cordoned_target).await, 0);
     registry.lift(&domain("b"));
     registry.cordon(&domain("a"));
-    tokio::time::sleep(KNOWN).await;
-    assert_eq!(reach(&fleet[2..], &closed).await, 8);
+    tokio::time::sleep(PROPAGATION).await;
+    assert_eq!(count_reached(&fleet[2..], &cordoned_target).await, 8);
 }
 
 /// Guards against requests waiting for places that don't come, or being told that they may have run.
@@ -225,7 +226,7 @@
 
 /// Guards against a request that waits for a place being left to its deadline.
 #[ntex::test]
-async fn what_waits_for_a_place_is_told_when_its_domain_is_cordoned() {
+async fn a_queued_request_is_refused_when_its_domain_is_cordoned() {
     let registry = registry().await;
     // Prompts that are not read yet keep others from being sent there.
     let unread = |_: &Seen| vec![stream_head(), Step::Wait(Duration::from_secs(3)), stream_end()];
@@ -240,12 +241,12 @@
     registry.cordon(&domain("a"));
     let refused = waits.await.expect("an answer");
     assert_eq!((refused.status, engine.seen().len()), (503, 2), "{refused:?}");
-    assert!(refused.took < KNOWN * 2, "{refused:?}");
+    assert!(refused.took < PROPAGATION * 2, "{refused:?}");
 }
 
 /// Guards against answers that run in a cordoned domain being cut.
 #[ntex::test]
-async fn what_runs_in_a_cordoned_domain_ends_there() {
+async fn a_running_answer_in_a_cordoned_domain_completes_there() {
     let registry = registry().await;
     let pause = Step::Wait(Duration::from_millis(700));
     let script =
@@ -269,13 +270,13 @@
     resumption = { "/gen/x", Duration::ZERO },
 )]
 #[test_macro(ntex::test)]
-async fn nothing_is_sent_there_a_second_time(path: &str, wait: Duration) {
+async fn no_hedge_or_resumption_reaches_a_cordoned_domain(path: &str, wait: Duration) {
     let registry = registry().await;
     let slow = move |_: &Seen| [vec![Step::Wait(wait)], answer(200, "ok")].concat();
     let broken = |_: &Seen| vec![stream_head(), event(1), Step::Reset];
     let _slow = target(&registry, "web-1", "a", slow).await;
     let _broken = target(&registry, "gen-1", "a", broken).await;
-    let closed = [
+    let cordoned_targets = [
         lookup_target(&registry, "web-2", "b").await,
         target(&registry, "gen-2", "b", |_| vec![stream_head(), event(2), stream_end()]).await,
     ];
@@ -287,12 +288,12 @@
     };
     request.send(fleet[0].callers()).await;
     tokio::time::sleep(wait).await;
-    assert!(closed.iter().all(|target| target.seen().is_empty()));
+    assert!(cordoned_targets.iter().all(|target| target.seen().is_empty()));
 }
 
 /// Guards against copies of running answers being kept in a cordoned domain.
 #[ntex::test]
-async fn no_copy_is_kept_there() {
+async fn no_copy_is_kept_in_a_cordoned_domain() {
     let registry = registry().await;
     let script = |_: &Seen| vec![stream_head(), event(1), stream_end()];
     let engine = target(&registry, "gen-1", "a", script).await;
@@ -316,15 +317,15 @@
 
 /// Guards against an entry that is linked before its peers know never hearing that there are no cordons.
 #[ntex::test]
-async fn entries_that_start_together_tell_each_other_that_there_are_none() {
+async fn entries_that_start_together_learn_that_there_are_no_cordons() {
     let registry = registry().await;
     let _open = lookup_target(&registry, "web-1", "a").await;
     registry.set_mood(Mood::Busy);
     let first = unready(registry.address(), "entry-0", &[]).await;
-    let second = unready(NOWHERE, "entry-1", &[first.peers()]).await;
-    tokio::time::sleep(KNOWN).await;
+    let second = unready(UNREACHABLE, "entry-1", &[first.peers()]).await;
+    tokio::time::sleep(PROPAGATION).await;
     registry.set_mood(Mood::Well);
     until_ready(&first).await;
     until_ready(&second).await;
-    assert_eq!(ask(&second).await.status, 200);
+    assert_eq!(send(&second).await.status, 200);
 }
--- a/crates/gateway/tests/links.rs
+++ b/crates/gateway/tests/links.rs
@@ -14,27 +14,27 @@
 use tokio::time::sleep;
 
 /// Whether the metrics of an entry have a line that begins so.
-async fn says(entry: &Gateway, what: &str) -> bool {
+async fn has_metric(entry: &Gateway, prefix: &str) -> bool {
     let page = Request::get("/metrics").send(entry.metrics()).await.body;
-    page.contains(&format!("fireflyhoist_{what}"))
+    page.contains(&format!("fireflyhoist_{prefix}"))
 }
 
 /// An entry serves an old text and nobody can tell why: its links came and went. The metrics say
 /// how many ended for which reason, and what they carried by kind of frame.
 #[ntex::test]
-async fn metrics_tell_what_links_carry_and_why_they_end() {
+async fn metrics_report_link_traffic_and_close_reasons() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let (first, proxy) = start_behind_proxy(registry.address(), "entry-1", &[], 1.0).await;
     let second = unready(registry.address(), "entry-2", &[first.peers()]).await;
     until_ready(&second).await;
-    let beats = r#"link_bytes_total{frame="beat",way="received"}"#;
-    eventually(async || says(&second, beats).await).await;
-    assert!(!says(&second, "links_lost_total{").await);
+    let heartbeats = r#"link_bytes_total{frame="beat",way="received"}"#;
+    eventually(async || has_metric(&second, heartbeats).await).await;
+    assert!(!has_metric(&second, "links_lost_total{").await);
     proxy.stall();
-    eventually(async || says(&second, r#"links_lost_total{reason="silent"}"#).await).await;
+    eventually(async || has_metric(&second, r#"links_lost_total{reason="silent"}"#).await).await;
     // The end that only wrote hears of it from the other.
-    eventually(async || says(&first, r#"links_lost_total{reason="ended"}"#).await).await;
+    eventually(async || has_metric(&first, r#"links_lost_total{reason="ended"}"#).await).await;
 }
 
 /// A link is closed, as silent or as stuck, although bytes never ceased to come and to go on it. Its
@@ -43,7 +43,7 @@
 /// no more until a third of them are gone, which looks like a write that stands still. Printed times
 /// of writes and losses showed both.
 #[ntex::test]
-async fn a_link_is_not_closed_for_what_its_end_writes() {
+async fn a_slow_write_does_not_close_a_link() {
     // A quarter of a megabyte, of which the sockets between hold a part.
     const TARGETS: usize = 2_500;
     let registry = Registry::open().await;
@@ -57,12 +57,14 @@
     until_ready(&first).await;
     proxy.use_small_packets();
     proxy.throttle(40_000);
-    let away = Registry::open().await;
-    away.set_mood(Mood::Silent);
+    let silent_registry = Registry::open().await;
+    silent_registry.set_mood(Mood::Silent);
     let mut others = Vec::new();
     for nth in 2..8 {
-        others.push(unready(away.address(), &format!("entry-{nth}"), &[first.peers()]).await);
+        others.push(
+            unready(silent_registry.address(), &format!("entry-{nth}"), &[first.peers()]).await,
+        );
     }
     sleep(Duration::from_secs(6)).await;
-    assert!(!says(&first, "links_lost_total{").await);
+    assert!(!has_metric(&first, "links_lost_total{").await);
 }
--- a/crates/gateway/tests/comeback.rs
+++ b/crates/gateway/tests/resubmission.rs
@@ -13,23 +13,23 @@
 use support::target::{Seen, Standin, Step, event, stream_end, stream_head};
 use support::{eventually, route, text, unready, until_ready};
 
-const PAGE: Kind = Kind::Stream { resumable: false };
+const STREAM: Kind = Kind::Stream { resumable: false };
 
 /// Three heartbeats.
-const HEARTBEATS: Duration = Duration::from_millis(450);
+const PROPAGATION: Duration = Duration::from_millis(450);
 
 /// Drafts after which an engine is surely full.
-const MOST: usize = 12;
+const MAX_DRAFTS: usize = 12;
 
 /// A draft of 12,000 tokens, of which some five fit into an engine.
-fn page(body: &str) -> Request {
+fn draft(body: &str) -> Request {
     Request::new("POST", "/gen/x")
         .header("fireflyhoist-prompt-tokens", "12000")
         .header("fireflyhoist-max-tokens", "500")
         .body(body)
 }
 
-async fn linked(registry: &Registry) -> (Gateway, Gateway) {
+async fn linked_pair(registry: &Registry) -> (Gateway, Gateway) {
     let first = unready(registry.address(), "entry-1", &[]).await;
     let second = unready(registry.address(), "entry-2", &[first.peers()]).await;
     until_ready(&first).await;
@@ -38,7 +38,7 @@
     eventually(async || known.send(first.directory()).await.body.matches("entry-").count() == 2)
         .await;
     // Both have told each other what they hold, and so know what the engine has.
-    tokio::time::sleep(HEARTBEATS).await;
+    tokio::time::sleep(PROPAGATION).await;
     (first, second)
 }
 
@@ -46,18 +46,18 @@
 /// as one place is free. A second estimator's draft, new and still able to begin on time, comes in
 /// the same moment. Taken for new, the first would take the place and make both late.
 #[ntex::test]
-async fn one_that_comes_back_leaves_room_to_a_new_one() {
+async fn a_resubmitted_request_does_not_displace_a_new_one() {
     let registry = Registry::open().await;
-    let generation = Route { objective: Duration::from_millis(900), ..route("gen", PAGE) };
+    let generation = Route { objective: Duration::from_millis(900), ..route("gen", STREAM) };
     registry.publish(text(1, vec![generation]));
-    let ended = Arc::new(AtomicBool::new(false));
-    let over = Arc::clone(&ended);
+    let first_may_end = Arc::new(AtomicBool::new(false));
+    let may_end = Arc::clone(&first_may_end);
     let script = move |seen: &Seen| match seen.body.as_str() {
         // The first of the two ends when told.
         "first" => {
             let mut steps = vec![stream_head(), event(1)];
-            let over = Arc::clone(&over);
-            steps.push(Step::Until(Arc::new(move || over.load(Ordering::SeqCst))));
+            let may_end = Arc::clone(&may_end);
+            steps.push(Step::Until(Arc::new(move || may_end.load(Ordering::SeqCst))));
             steps.extend([event(2), stream_end()]);
             steps
         }
@@ -65,33 +65,33 @@
     };
     let engine = Standin::open("e-1", "gen", script).await;
     registry.put(engine.listed.clone());
-    let (first, second) = linked(&registry).await;
+    let (first, second) = linked_pair(&registry).await;
     let (one, two) = (first.callers(), second.callers());
     // Drafts fill the engine until one is refused.
     let mut refused = None;
-    for number in 0..MOST {
+    for number in 0..MAX_DRAFTS {
         let body = if number == 0 { "first".to_owned() } else { format!("draft {number}") };
-        let asked = ntex::rt::spawn({
+        let answer = ntex::rt::spawn({
             let body = body.clone();
-            async move { page(&body).send(one).await }
+            async move { draft(&body).send(one).await }
         });
         let runs = async || engine.seen().iter().any(|seen| seen.body == body);
-        eventually(async || runs().await || asked.is_finished()).await;
-        if asked.is_finished() {
-            refused = Some((body, asked.await.expect("an answer")));
+        eventually(async || runs().await || answer.is_finished()).await;
+        if answer.is_finished() {
+            refused = Some((body, answer.await.expect("an answer")));
             break;
         }
     }
     let (refused, answer) = refused.expect("one is refused");
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.body.contains("\"ran\":\"no\"") && answer.header("retry-after").is_some());
-    ended.store(true, Ordering::SeqCst);
+    first_may_end.store(true, Ordering::SeqCst);
     // A place is free, and the other entry knows it.
-    tokio::time::sleep(HEARTBEATS).await;
-    let returned = refused.clone();
-    ntex::rt::spawn(async move { page(&returned).send(two).await }).detach();
-    tokio::time::sleep(HEARTBEATS).await;
-    ntex::rt::spawn(async move { page("new").send(two).await }).detach();
+    tokio::time::sleep(PROPAGATION).await;
+    let resubmitted = refused.clone();
+    ntex::rt::spawn(async move { draft(&resubmitted).send(two).await }).detach();
+    tokio::time::sleep(PROPAGATION).await;
+    ntex::rt::spawn(async move { draft("new").send(two).await }).detach();
     let ran = |body: &str| engine.seen().iter().any(|seen| seen.body == body);
     eventually(async || ran("new")).await;
     assert!(!ran(&refused), "the one that came back waits");
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -13,7 +13,7 @@
 use support::{route, start_with_power, text, unready, until_ready};
 
 /// Strong entries, which are to carry the traffic.
-const STRONG: usize = 6;
+const STRONG_ENTRIES: usize = 6;
 
 async fn registry() -> Registry {
     let registry = Registry::open().await;
@@ -26,11 +26,11 @@
 
 /// Starts three seeds and `more` other entries, and waits until all are ready.
 async fn start(registry: &Registry, more: usize) -> Vec<Gateway> {
-    start_of(registry, STRONG, more).await
+    start_fleet(registry, STRONG_ENTRIES, more).await
 }
 
 /// The same, with so many strong ones among the others.
-async fn start_of(registry: &Registry, strong: usize, more: usize) -> Vec<Gateway> {
+async fn start_fleet(registry: &Registry, strong: usize, more: usize) -> Vec<Gateway> {
     let mut gateways = Vec::new();
     let mut seeds = Vec::new();
     for n in 0..3 {
@@ -51,7 +51,7 @@
 
 /// Guards against calls of the registry that grow with the number of entries that start.
 #[ntex::test]
-async fn calls_of_a_start_do_not_grow_with_the_fleet() {
+async fn registry_calls_at_start_do_not_grow_with_the_fleet() {
     let registry = registry().await;
     let _gateways = start(&registry, 40).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -61,10 +61,10 @@
 
 /// Guards against each change of targets going to an entry that stands by from both of its actives.
 #[ntex::test]
-async fn a_leaf_is_told_of_each_change_once() {
+async fn a_leaf_receives_each_change_once() {
     const CHANGES: usize = 10;
     let registry = registry().await;
-    let gateways = start_of(&registry, 0, 14).await;
+    let gateways = start_fleet(&registry, 0, 14).await;
     // Links settle: those to seeds are closed where neither end has a use for them.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let leaf = gateways.last().expect("a leaf");
@@ -100,16 +100,16 @@
             registry.put(listed(&format!("t-{n}"), "web", "127.0.0.1:9".parse().expect("address")));
         }
     };
-    let began = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let second = unready(registry.address(), "second", &[seed.peers()]).await;
     tokio::join!(put, until_ready(&second));
     // Before it would read the registry itself.
-    assert!(began.elapsed() < TRANSFER_GRACE, "after {:?}", began.elapsed());
+    assert!(started.elapsed() < TRANSFER_GRACE, "after {:?}", started.elapsed());
 }
 
 /// Guards against refusing callers that come in the moment in which an entry is told what it needs.
 #[ntex::test]
-async fn a_request_that_comes_with_the_start_is_served() {
+async fn a_request_during_the_start_is_served() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Safe)]));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
@@ -123,26 +123,26 @@
 
 /// Guards against an entry that joins while the registry is away and takes callers knowing nothing.
 #[ntex::test]
-async fn an_entry_that_joins_is_told_while_the_registry_is_away() {
+async fn an_entry_starts_from_its_peers_while_the_registry_is_silent() {
     let registry = registry().await;
     let first = unready(registry.address(), "first", &[]).await;
     until_ready(&first).await;
     registry.set_mood(Mood::Silent);
     let second = unready(registry.address(), "second", &[first.peers()]).await;
-    let began = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     until_ready(&second).await;
-    assert!(began.elapsed() < Duration::from_secs(2), "after {:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(2), "after {:?}", started.elapsed());
 }
 
 /// Guards against a start that waits for seeds which are not there.
 #[ntex::test]
-async fn an_entry_whose_seeds_are_gone_reads_for_itself() {
+async fn an_entry_without_reachable_seeds_reads_the_registry() {
     let registry = registry().await;
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
-    let address = gone.local_addr().expect("address");
-    drop(gone);
+    let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
+    let address = closed.local_addr().expect("address");
+    drop(closed);
     let entry = unready(registry.address(), "alone", &[address]).await;
-    let began = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     until_ready(&entry).await;
-    assert!(began.elapsed() < Duration::from_secs(3), "after {:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(3), "after {:?}", started.elapsed());
 }
