--- a/crates/gateway/src/connection/exchange.rs
+++ b/crates/gateway/src/connection/exchange.rs
@@ -1,12 +1,11 @@
-//! One request to a target or the registry and its response, with every failure told apart.
+//! HTTP exchanges with targets and the registry: one request, its response, and distinct failures.
 //!
-//! Each exchange has a connection of its own, which is closed after it. A pool was weighed: a
-//! pooled connection may be closing or silent as the request is written, which leaves the fate of a
-//! request that may not be repeated unknown, and bytes that belong to nobody may lie on it.
-//! `docs/PLATFORM.md` has what a new connection costs.
+//! Each exchange opens its own connection, which is closed afterwards. Pooled connections are not
+//! used: one may be closing or dead when the request is written, which leaves unknown whether a
+//! request that must not be repeated ran, and it may hold stray bytes of an earlier response.
 //!
-//! The server library's own client was ruled out: it takes a response without a length for one
-//! without a body, and its pool opens connections to one address one after the other.
+//! The client of the server library (`ntex`) is not used: it treats a response without a length as
+//! one without a body, and its pool opens connections to one address one at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,25 +22,25 @@
 use ntex::util::{Bytes, BytesMut};
 use tokio::net::TcpStream;
 
-/// How long opening a connection may take. A hundred round trips between failure domains, and less
-/// than half of the shortest patience in use: what is not connected by then goes elsewhere, which
-/// is safe, since no byte was written.
+/// How long opening a connection may take: a hundred round trips between failure domains, and less
+/// than half of the shortest timeout of callers in use. A request that is not connected by then is
+/// sent elsewhere, which is safe because none of it was written.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why an exchange brought no whole response.
+/// Why an exchange yielded no complete response.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No connection came about: the request was not written.
-    #[display("not reached; see whether the target is up")]
+    /// No connection could be opened; the request was not written.
+    #[display("cannot connect; check that the target is up")]
     ConnectFailed,
-    /// The connection ended, or what came is no response; the request may have run.
-    #[display("broken off ({reason}); see the target's log")]
+    /// The connection ended or the bytes received are no valid response; the request may have run.
+    #[display("connection failed ({reason}); see the target's log")]
     Broken { reason: String },
-    /// Nothing came in time; the request may have run.
-    #[display("no answer in time; see whether the target is overloaded")]
+    /// No response arrived in time; the request may have run.
+    #[display("response timed out; check whether the target is overloaded")]
     TimedOut,
-    /// The body is larger than is held.
-    #[display("body too large; raise the bound or send less")]
+    /// The body is larger than the caller of the exchange accepts.
+    #[display("response body too large; raise the limit or send less")]
     BodyTooLarge,
 }
 
@@ -51,7 +50,7 @@
     }
 }
 
-/// A request as it goes out.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
     pub(crate) method: Method,
@@ -60,11 +59,11 @@
     pub(crate) body: Bytes,
 }
 
-/// Closes the connection of an exchange when its response is dropped, so that a target learns at
-/// once that nobody waits.
+/// Closes the connection of an exchange when its response is dropped, so that the target notices at
+/// once that the response is no longer wanted.
 ///
-/// The library closes it as well, as soon as it finds that nobody reads: the tests of callers that
-/// leave pass without this. It only makes the close independent of what is still unread.
+/// `hyper` also closes the connection once it finds that nothing reads the response. This guard
+/// closes it regardless of how much of the response is still unread.
 #[derive(Debug)]
 struct ConnectionGuard(AbortHandle);
 
@@ -74,7 +73,8 @@
     }
 }
 
-/// Sends a request over a connection of its own and waits for the head of its response.
+/// Sends a request over a new connection and waits for the head of its response, for at most
+/// `within` after the connection is open.
 pub(crate) async fn send(
     address: SocketAddr,
     outgoing: Outgoing,
@@ -82,7 +82,7 @@
 ) -> Result<Response, Failure> {
     let connected = timeout(CONNECT_TIMEOUT.min(within), TcpStream::connect(address)).await;
     let Ok(Ok(stream)) = connected else { return Err(Failure::ConnectFailed) };
-    // Small requests must not wait for the acknowledgement of earlier packets.
+    // Without Nagle's algorithm: small requests must not wait for acknowledgements.
     let _ = stream.set_nodelay(true);
     timeout(within, exchange(stream, address, outgoing)).await.unwrap_or(Err(Failure::TimedOut))
 }
@@ -97,7 +97,7 @@
     let (driver, handle) = abortable(driver);
     let connection = ConnectionGuard(handle);
     ntex::rt::spawn(async move {
-        // Its failures reach the response as well.
+        // Errors of the connection are also returned by the response.
         let _ = driver.await;
     })
     .detach();
@@ -132,22 +132,22 @@
     request.body(Full::new(body))
 }
 
-/// A response whose body is still to be read.
+/// A response whose body has not been read yet.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     body: Incoming,
-    /// The longest time that a part of the body may take to come.
+    /// The longest time between two parts of the body; `None` for no limit.
     idle_timeout: Option<Duration>,
     _connection: ConnectionGuard,
 }
 
 impl Response {
-    /// The next bytes of the body, or `None` at its orderly end.
+    /// Returns the next bytes of the body, or `None` at its end.
     ///
-    /// The failure: a body without a length ends with its connection, and one that was reset on
-    /// the way looks complete. Only an orderly close counts as its end.
+    /// A body without a length ends when its connection closes. Only an orderly close counts as its
+    /// end: otherwise a body that was cut off by a reset would look complete.
     pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
             let frame = match self.idle_timeout {
@@ -158,7 +158,7 @@
             };
             match frame {
                 Some(Ok(frame)) => {
-                    // Trailers say nothing that the caller asked for.
+                    // Trailers are not passed on.
                     if let Ok(data) = frame.into_data() {
                         return Ok(Some(Bytes::copy_from_slice(&data)));
                     }
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The whole body, where it is at most `limit` bytes.
+    /// Reads the rest of the body, and fails if it is more than `limit` bytes.
     pub(crate) async fn read_body(&mut self, limit: usize) -> Result<Bytes, Failure> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.chunk().await? {
@@ -182,7 +182,7 @@
     }
 }
 
-/// Calls for a whole small reply, as engines give them.
+/// Sends a request and reads a small response, all of it `within` that time.
 pub(crate) async fn call(
     address: SocketAddr,
     outgoing: Outgoing,
@@ -193,7 +193,7 @@
     fetched.unwrap_or(Err(Failure::TimedOut)).map(|reply| (reply.status, reply.body))
 }
 
-/// A whole reply.
+/// A response that was read completely.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
@@ -201,13 +201,13 @@
     pub(crate) body: Bytes,
 }
 
-/// Calls for a reply that may be large: it begins within `begin`, and goes on after pauses of at
-/// most `pause`.
+/// Sends a request and reads a response that may be large: its head must arrive within
+/// `head_timeout`, and no two parts of its body may be further apart than `idle_timeout`.
 ///
-/// **Failure:** a limit on the whole is a limit on the size. Over a narrow link a text takes longer
-/// than any limit that notices a lost reply in time; it is given up nearly whole, read again from
-/// the start, and its entry never gets ready. **Guard:** bytes that keep coming are no reason to
-/// give up; `limit` bounds the whole.
+/// There is no timeout for the response as a whole, since that would limit its size. Over a slow
+/// link a configuration text takes longer than any timeout that detects a lost response soon
+/// enough; the read would be aborted shortly before its end and repeated from the start, and the
+/// entry would never be ready. The size is limited by `limit` bytes.
 pub(crate) async fn fetch(
     address: SocketAddr,
     outgoing: Outgoing,
--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -1,4 +1,6 @@
-//! What entries tell each other over their links.
+//! Frames that entries exchange over their links.
+//!
+//! Names of variants and fields are part of the wire format.
 
 use std::collections::BTreeMap;
 
@@ -22,87 +24,89 @@
 
 use crate::connection::deflate;
 
-/// The largest frame that is read: ten thousand targets fit.
+/// The largest frame that is accepted, in bytes; the list of ten thousand targets fits.
 pub(crate) const MAX_FRAME_BYTES: usize = 2 << 20;
 
-/// The first byte of a frame that goes as it is.
+/// The first byte of an uncompressed frame.
 const PLAIN: u8 = 0;
 
-/// The first byte of a frame that goes deflated.
+/// The first byte of a compressed frame.
 const DEFLATED: u8 = 1;
 
-/// Bytes from which deflating a frame is worth its processor time.
+/// The size from which compressing a frame is worth its processor time.
 const MIN_DEFLATE_BYTES: usize = 512;
 
-/// What an entry holds at one target.
+/// The load that one or several entries have on one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Load {
     /// The target.
     pub(crate) target: id::Target,
-    /// Tokens of running answers there.
+    /// Tokens that running answers hold in its memory.
     pub(crate) tokens: Tokens,
-    /// Running answers there.
+    /// Running answers.
     pub(crate) streams: u32,
-    /// Prompt tokens that wait to be read there.
+    /// Prompt tokens that wait for prefill.
     pub(crate) unread: Tokens,
-    /// Tokens of copies kept there for answers that run elsewhere.
+    /// Tokens that copies of answers which run elsewhere hold in its memory.
     pub(crate) copies: Tokens,
 }
 
-/// How a request ended at a target, as far as others need to know.
+/// The outcome of a request at a target, as entries announce it to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct TargetOutcome {
     /// The target's service.
     pub(crate) service: id::Service,
     /// The target.
     pub(crate) target: id::Target,
-    /// How it ended.
+    /// How the request ended.
     pub(crate) outcome: Outcome,
 }
 
-/// What an entry says several times a second.
+/// The state of an entry, which it sends several times a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
-    /// Whether it takes new callers.
+    /// Whether the entry takes new callers.
     pub(crate) ready: bool,
-    /// The revision of the text in force there; 0 before the first.
+    /// The revision of the configuration text in force at the entry; 0 before the first.
     pub(crate) text: u64,
-    /// Where its view of targets stands in the registry's history; `None` before its first list.
+    /// The registry position of its list of targets; `None` before its first list.
     pub(crate) targets: Option<Position>,
-    /// Which failure domains are cordoned; `None` before its first reading, and where nothing has
-    /// changed since the receiver was told.
+    /// The cordoned failure domains; `None` before their first reading, and if they are unchanged
+    /// since they were last sent to the receiver.
     #[serde(default)]
     pub(crate) cordons: Option<cordon::Update>,
-    /// Whether its latest call of the registry succeeded.
+    /// Whether its latest call to the registry succeeded.
     #[serde(rename = "registry")]
     pub(crate) registry_up: bool,
-    /// Whether it hears of targets from the registry just now.
+    /// Whether it currently receives changes of targets from the registry.
     pub(crate) watching: bool,
-    /// Whether the receiver is the one that tells it of each change of targets.
+    /// Whether it relies on the receiver to send it each change of targets.
     pub(crate) follows: bool,
-    /// How requests ended at targets that fail some, since its heartbeat before.
+    /// Outcomes since its previous heartbeat, of requests to targets that fail some requests.
     #[serde(rename = "endings")]
     pub(crate) outcomes: Vec<TargetOutcome>,
-    /// What it answers for: all that it knows to be held, but for what the receiver told it.
+    /// The load on each target that the entry knows of, without what it learned from the receiver.
     #[serde(rename = "held")]
     pub(crate) loads: Vec<Load>,
 }
 
-/// What one entry decides for all.
+/// Permission to send a request, which one entry grants for all.
+///
+/// Each variant holds what the requesting entry knows of its subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Permit {
-    /// May a request that is held back be tried? With what the sender knows of it.
+    /// To run a trial of a request that is suspected of crashing targets.
     Trial(poison::Record),
-    /// May a request be sent to a target that names a limit? With what the sender knows of it.
+    /// To send a request to a target that advertises a limit.
     #[serde(rename = "Send")]
     LimitedSend(target_limit::Update),
-    /// May a request be sent to a target that is cold? With what the sender knows of it.
+    /// To send a request to a cold target.
     #[serde(rename = "Cold")]
     ColdSend(cold::Update),
 }
 
 impl Permit {
-    /// What decides which entry answers.
+    /// Returns the key that determines the entry that grants this permit.
     pub(crate) fn key(&self) -> String {
         match self {
             Self::Trial(record) => record.fingerprint.to_string(),
@@ -112,113 +116,113 @@
     }
 }
 
-/// One message.
+/// One message on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Frame {
-    /// The first frame of each end.
+    /// Who the sender is; the first frame in each direction.
     Hello(Member),
-    /// What changed of the sender and the entries that it has a link to.
+    /// Changes in the presence of the sender and of the entries that it has links to.
     #[serde(rename = "Alive")]
     Presence(Update),
-    /// Please send the whole list of who is alive.
+    /// Requests the complete presence list.
     #[serde(rename = "WantAlive")]
     PresenceRequest,
-    /// The sender's state; it shows too that the link works.
+    /// The state of the sender; also shows that the link works.
     #[serde(rename = "Beat")]
     Heartbeat(Heartbeat),
-    /// About texts and their sections.
+    /// Part of the transfer of a configuration text and its sections.
     Text(Message),
-    /// Please send all targets.
+    /// Requests the complete list of targets.
     #[serde(rename = "WantTargets")]
     TargetsRequest,
-    /// All targets as of a position.
+    /// The complete list of targets.
     Targets {
-        /// Where the list stands.
+        /// The registry position of the list.
         revision: Position,
-        /// All that are listed.
+        /// All targets.
         targets: Vec<Target>,
     },
-    /// What has changed of the targets.
+    /// Changes of targets.
     Changes {
-        /// Where the sender stood before.
+        /// The registry position of the sender before the changes.
         since: Position,
-        /// Where it stands now.
+        /// Its registry position after them.
         revision: Position,
-        /// What changed in between.
+        /// The changes.
         changes: Vec<Change>,
     },
-    /// The sender has refused a request.
+    /// The sender refused a request, which may be sent again to another entry.
     Refused {
-        /// Which.
+        /// The request.
         #[serde(rename = "print")]
         fingerprint: Fingerprint,
-        /// For how many milliseconds it has been wanted.
+        /// Milliseconds since it was first received.
         age_ms: u64,
     },
-    /// Requests under which targets ended, as far as that is news.
+    /// New records of requests that were running on targets when these crashed.
     Poison(Vec<poison::Record>),
-    /// Limits that targets named, as far as that is news.
+    /// New or changed limits that targets advertise.
     Limits(Vec<target_limit::Update>),
-    /// A request was sent to a target that names a limit without asking for leave.
+    /// A request was sent without a permit to a target that advertises a limit.
     #[serde(rename = "Spent")]
     LimitedSend(target_limit::Update),
-    /// A request was sent to a target that is cold without asking for leave.
+    /// A request was sent without a permit to a cold target.
     #[serde(rename = "SpentCold")]
     ColdSend(cold::Update),
-    /// Something that the receiver decides for all entries.
+    /// Requests a permit.
     #[serde(rename = "Ask")]
     PermitRequest {
-        /// The sender's number for the question.
+        /// The number that the sender gave the request.
         #[serde(rename = "ask")]
         id: u64,
-        /// What is asked.
+        /// The permit.
         #[serde(rename = "question")]
         permit: Permit,
     },
-    /// The answer to a question.
+    /// The reply to a request for a permit.
     #[serde(rename = "Answer")]
     PermitReply {
-        /// The receiver's number for the question.
+        /// The number that the receiver gave the request.
         #[serde(rename = "ask")]
         id: u64,
-        /// After how many milliseconds to ask again; `None` where it is granted.
+        /// Milliseconds until the permit may be requested again; `None` if it is granted.
         wait_ms: Option<u64>,
     },
-    /// An answer waits to be copied from an engine whose queue the receiver keeps.
+    /// Adds an answer to the migration queue of an engine, which the receiver owns.
     #[serde(rename = "TurnAsk")]
     MigrationRequest {
         /// The engine.
         engine: id::Target,
-        /// The answer.
+        /// The migration of the answer.
         #[serde(rename = "ask")]
         migration: Migration,
     },
-    /// It is the turn of an answer of the receiver.
+    /// The answer may be migrated now.
     #[serde(rename = "Turn")]
     MigrationGrant {
         /// The engine.
         engine: id::Target,
-        /// The answer's request.
+        /// The request that the answer belongs to.
         request: SmolStr,
     },
-    /// A turn is over, or not wanted any more.
+    /// A migration is over, or is not wanted any more.
     #[serde(rename = "TurnDone")]
     MigrationDone {
         /// The engine.
         engine: id::Target,
-        /// The answer's request.
+        /// The request that the answer belongs to.
         request: SmolStr,
     },
 }
 
 impl Load {
-    /// Nothing held.
+    /// Returns no load on a target.
     pub(crate) fn none(target: &id::Target) -> Self {
         let zero = Tokens::default();
         Self { target: target.clone(), tokens: zero, streams: 0, unread: zero, copies: zero }
     }
 
-    /// Adds what another entry holds at the same target.
+    /// Adds the load of another entry on the same target.
     pub(crate) fn add(&mut self, other: &Self) {
         self.tokens += other.tokens;
         self.streams += other.streams;
@@ -227,7 +231,7 @@
     }
 }
 
-/// Adds up what several entries hold, target by target.
+/// Sums the loads of several entries by target.
 pub(crate) fn sum<'a>(held: impl Iterator<Item = &'a Load>) -> Vec<Load> {
     let mut sums: BTreeMap<id::Target, Load> = BTreeMap::new();
     for one in held {
@@ -236,9 +240,9 @@
     sums.into_values().collect()
 }
 
-/// Bytes that are no frame.
+/// The bytes received are not a valid frame.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("not a frame ({reason}); run the same release on every entry")]
+#[display("invalid frame ({reason}); run the same release on every entry")]
 pub(crate) struct FrameError {
     reason: String,
 }
@@ -250,7 +254,7 @@
 }
 
 impl Frame {
-    /// Its kind as metrics and log lines call it.
+    /// Returns the kind of frame for metrics and log lines.
     pub(crate) fn kind(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
@@ -269,19 +273,19 @@
         }
     }
 
-    /// The frame as it goes over a link: a byte that says how, and then what it holds.
+    /// Encodes the frame: one byte for its encoding, followed by CBOR that may be compressed.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![PLAIN];
-        ciborium::into_writer(self, &mut bytes).expect("a frame goes into memory");
+        ciborium::into_writer(self, &mut bytes).expect("writing to memory cannot fail");
         if bytes.len() < MIN_DEFLATE_BYTES || !self.is_repetitive() {
             return bytes;
         }
         let mut deflated = vec![DEFLATED];
-        deflated.extend(deflate::compress(&bytes[1..]).expect("bytes go into memory"));
+        deflated.extend(deflate::compress(&bytes[1..]).expect("writing to memory cannot fail"));
         deflated
     }
 
-    /// Reads a frame.
+    /// Decodes a frame.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
         let read = |bytes: &[u8]| ciborium::from_reader(bytes).map_err(FrameError::new);
         match bytes.split_first() {
@@ -289,12 +293,12 @@
             Some((&DEFLATED, rest)) => {
                 read(&deflate::decompress(rest, MAX_FRAME_BYTES).map_err(FrameError::new)?)
             }
-            _ => Err(FrameError::new("an unknown form")),
+            _ => Err(FrameError::new("unknown encoding")),
         }
     }
 
-    /// Whether it is one of those that make up most bytes of a large fleet, several times a second,
-    /// and that name the same fields over and over.
+    /// Returns whether the frame is of a kind that makes up most of the traffic of a large fleet
+    /// and repeats the same field names, so that it compresses well.
     fn is_repetitive(&self) -> bool {
         matches!(
             self,
--- a/crates/gateway/src/connection/link.rs
+++ b/crates/gateway/src/connection/link.rs
@@ -1,4 +1,6 @@
-//! Links between entries: opened to all that are known, replaced when they fall silent.
+//! Links between entries: WebSocket connections that carry frames.
+//!
+//! A link on which nothing arrives for [`SILENCE_TIMEOUT`] is closed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,56 +22,58 @@
 use crate::connection::monitor::{Monitor, MonitoredSocket};
 use crate::connection::traffic::Traffic;
 
-/// A link on which no byte came for this long is closed: three heartbeats.
+/// A link on which no byte arrives for this long is closed: three times the interval of heartbeats
+/// between an active and a leaf.
 ///
-/// The failure: something between two ends lost track of their connection, and whoever waits on it
-/// waits for good, while new connections work. Bytes count and not whole frames: a heartbeat that
-/// waits behind a large frame on a narrow link is no silence, and a link that is closed for it
-/// loses what had arrived and begins anew. Both ends judge by what comes, and by nothing else.
+/// A middlebox may lose the state of a connection; its ends would then wait on it forever, although
+/// new connections work. Received bytes count, not complete frames: a heartbeat may be queued
+/// behind a large frame on a slow link, and closing the link then would lose the part of the frame
+/// that has arrived. Each end decides only by what it receives, not by its own writes.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long connecting and greeting may take together.
+/// How long opening a connection and the handshake on it may each take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Frames that wait for one link; more are dropped, since heartbeats repeat what they say.
+/// The capacity of the send queue of a link, in frames. More are dropped, since heartbeats repeat
+/// the state.
 const SEND_QUEUE_FRAMES: usize = 64;
 
-/// What the links tell the process.
+/// What happens on links.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A link is open.
+    /// A link was opened.
     Up(Member),
-    /// The newest link to a host is gone.
+    /// The newest link to a host has ended.
     Down(id::Host, Loss),
-    /// A frame came.
+    /// A frame was received.
     Frame(id::Host, Frame),
 }
 
-/// Why a link ended, and what had come on it.
+/// Why a link ended, and what had been received on it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Loss {
     pub(crate) reason: Reason,
-    /// Since the latest whole frame.
+    /// Time since the latest complete frame.
     pub(crate) frame_ago: Duration,
-    /// Since the latest byte.
+    /// Time since the latest byte.
     pub(crate) byte_ago: Duration,
-    /// Bytes that came since the latest whole frame.
+    /// Bytes received since the latest complete frame.
     pub(crate) partial_bytes: u64,
 }
 
 /// Why a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reason {
-    /// Nothing came for [`SILENCE_TIMEOUT`].
+    /// Nothing was received for [`SILENCE_TIMEOUT`].
     Silent,
-    /// This end closed it, or has a newer one.
+    /// This end closed the link, or has a newer one to the same host.
     Closed,
-    /// The other end closed or reset it, or sent what is no frame.
+    /// The other end closed or reset the link, or sent an invalid frame.
     Ended,
 }
 
 impl Reason {
-    /// The reason as metrics and log lines call it.
+    /// Returns the name of the reason in metrics and log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -79,10 +83,10 @@
     }
 }
 
-/// When the latest whole frame came on a link.
+/// When the latest complete frame was received on a link.
 struct LastFrame {
     received_at: Instant,
-    /// Bytes that had come by then.
+    /// All bytes received by then.
     received_bytes: u64,
 }
 
@@ -91,7 +95,7 @@
         Self { received_at: Instant::now(), received_bytes: monitor.snapshot().received_bytes }
     }
 
-    /// What is to be said of a link that ends for this reason.
+    /// Describes the end of the link for this reason.
     fn loss(&self, reason: Reason, monitor: &Monitor) -> Loss {
         let snapshot = monitor.snapshot();
         Loss {
@@ -121,7 +125,7 @@
 }
 
 impl Links {
-    /// Opens a set without links; events arrive at the receiver of `events`.
+    /// Creates an empty set of links that sends its events to `events`.
     pub(crate) fn new(own: Member, traffic: Traffic, events: mpsc::Sender<Event>) -> Arc<Self> {
         Arc::new(Self {
             own,
@@ -132,12 +136,12 @@
         })
     }
 
-    /// Whether some link leads to an address.
+    /// Returns whether there is a link to the entry at an address.
     pub(crate) fn has_link_to(&self, address: SocketAddr) -> bool {
         self.links.lock().values().any(|link| link.member.peers == address)
     }
 
-    /// Sends a frame to one host, if it has a link.
+    /// Sends a frame to a host if there is a link to it.
     pub(crate) fn send(&self, to: &id::Host, frame: &Frame) {
         let link = self.links.lock().get(to).cloned();
         if let Some(link) = link {
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Sends a frame that was encoded before to one host, if it has a link.
+    /// Sends an encoded frame to a host if there is a link to it.
     pub(crate) fn send_encoded(&self, to: &id::Host, kind: &'static str, bytes: Arc<Vec<u8>>) {
         let link = self.links.lock().get(to).cloned();
         if let Some(link) = link {
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Sends a frame to several hosts.
+    /// Sends a frame to those of several hosts that there are links to.
     pub(crate) fn send_all<'a>(&self, to: impl Iterator<Item = &'a id::Host>, frame: &Frame) {
         let bytes = Arc::new(frame.encode());
         let links = self.links.lock();
@@ -162,12 +166,12 @@
         }
     }
 
-    /// Queues a frame; one that finds the queue full is dropped.
+    /// Queues a frame for sending, or drops it if the queue is full.
     fn enqueue(&self, link: &Link, kind: &'static str, bytes: Arc<Vec<u8>>) {
         let count = bytes.len();
         match link.frames.try_send(bytes) {
             Ok(()) => self.traffic.sent(kind, count),
-            // Such a link is about to be given up, so that few lines are written.
+            // A link with a full queue is usually closed soon, so this logs few lines.
             Err(error) => {
                 self.traffic.dropped(kind);
                 log::warn!(peer:% = link.member.host, frame = kind, error:% = error; "frame dropped");
@@ -180,7 +184,7 @@
         self.links.lock().remove(host);
     }
 
-    /// Links to the entry at an address, until the link ends.
+    /// Opens a link to the entry at an address, and runs it until it ends.
     pub(crate) async fn dial(self: Arc<Self>, address: SocketAddr) {
         let connected = timeout(HANDSHAKE_TIMEOUT, connect(address)).await;
         if let Ok(Some((socket, monitor))) = connected {
@@ -188,11 +192,11 @@
         }
     }
 
-    /// Takes in links for as long as the process lives.
+    /// Accepts links until the process ends.
     pub(crate) async fn listen(self: Arc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of descriptors, most likely: the closing of others frees some.
+                // Most likely the process is out of file descriptors; other connections will close.
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 continue;
             };
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Greets, then reads and writes one link until either end gives it up.
+    /// Performs the handshake, then receives and sends frames until the link ends.
     async fn run<S, E>(self: Arc<Self>, socket: S, monitor: Monitor)
     where
         S: Stream<Item = Result<Message, E>> + Sink<Message> + Unpin,
@@ -224,9 +228,9 @@
         self.links.lock().insert(host.clone(), link);
         let _ = self.events.send(Event::Up(member)).await;
         let mut last_frame = LastFrame::now(&monitor);
-        // Reading goes on while a frame is written, and comes first: what waits to be read is no
-        // silence. Writing has no limit of its own: a system takes bytes in lumps, some of them after
-        // seconds on a narrow link, and an end that gets none closes the link as silent.
+        // Receiving continues while a frame is sent, and is polled first: bytes that wait to be
+        // read must not count as silence. Sending has no timeout: an operating system accepts bytes
+        // in large chunks, on a slow link seconds apart, and the other end closes a silent link.
         let reason = tokio::select! {
             biased;
             reason = self.receive_frames(&host, &mut source, &monitor, &mut last_frame) => reason,
@@ -236,8 +240,8 @@
         self.remove(&host, number, last_frame.loss(reason, &monitor)).await;
     }
 
-    /// Says who this end is, and returns who the other one is; `None` where it is this entry itself,
-    /// or does not say.
+    /// Exchanges [`Frame::Hello`], and returns the entry at the other end; `None` if that is this
+    /// entry itself, or if no valid frame arrives in time.
     async fn handshake<S, R, E>(&self, sink: &mut S, source: &mut R) -> Option<Member>
     where
         S: Sink<Message> + Unpin,
@@ -254,7 +258,7 @@
         }
     }
 
-    /// Hands on frames until none can be read any more.
+    /// Reads frames and passes them on until the link ends.
     async fn receive_frames<R, E>(
         &self,
         host: &id::Host,
@@ -272,6 +276,7 @@
         Reason::Ended
     }
 
+    /// Removes an ended link, and reports its end unless there is a newer link to the host.
     async fn remove(&self, host: &id::Host, number: u64, loss: Loss) {
         self.traffic.lost(loss.reason.name());
         let gone = {
@@ -288,7 +293,7 @@
 }
 
 fn websocket_config() -> WebSocketConfig {
-    // A faulty peer could otherwise make this end hold 64 MB for one message.
+    // The default limit is 64 MB, which a faulty peer could make this end hold in memory.
     WebSocketConfig::default()
         .read_buffer_size(8 << 10)
         .max_message_size(Some(MAX_FRAME_BYTES))
@@ -332,7 +337,7 @@
     }
 }
 
-/// Writes the frames that are queued until no more can be.
+/// Sends queued frames until the queue is closed or a write fails.
 async fn send_frames<S>(sink: &mut S, mut frames: mpsc::Receiver<Arc<Vec<u8>>>) -> Reason
 where
     S: Sink<Message> + Unpin,
--- a/crates/gateway/src/connection/mod.rs
+++ b/crates/gateway/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: calls to targets and the registry, links between entries.
+//! Connections: HTTP exchanges with targets and the registry, and links between entries.
 
 pub(crate) mod deflate;
 pub(crate) mod exchange;
--- a/crates/gateway/src/connection/monitor.rs
+++ b/crates/gateway/src/connection/monitor.rs
@@ -1,4 +1,4 @@
-//! A socket that knows when bytes last came on it.
+//! A socket that records how many bytes were received on it, and when.
 
 use std::io;
 use std::pin::Pin;
@@ -10,26 +10,26 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, sleep_until};
 
-/// What has come on a socket so far.
+/// What has been received on a socket so far.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Snapshot {
-    /// When the latest bytes came; when it was opened, where none did.
+    /// When the latest bytes were received, or when monitoring started if there were none.
     pub(crate) last_received: Instant,
-    /// How many have come in all.
+    /// Total number of bytes received.
     pub(crate) received_bytes: u64,
 }
 
-/// Reads [`Snapshot`] while its socket is in use elsewhere.
+/// A handle to the statistics of a [`MonitoredSocket`], usable while the socket is in use.
 #[derive(Clone, Debug)]
 pub(crate) struct Monitor(Arc<Mutex<Snapshot>>);
 
 impl Monitor {
-    /// What has come so far.
+    /// Returns what has been received so far.
     pub(crate) fn snapshot(&self) -> Snapshot {
         *self.0.lock()
     }
 
-    /// Waits until no byte has come for `timeout`.
+    /// Waits until no byte has been received for `timeout`.
     pub(crate) async fn wait_idle(&self, timeout: Duration) {
         loop {
             let end = self.snapshot().last_received + timeout;
@@ -41,7 +41,7 @@
     }
 }
 
-/// A socket that counts what comes.
+/// A socket that counts the bytes received on it.
 #[derive(Debug)]
 pub(crate) struct MonitoredSocket<S> {
     socket: S,
@@ -49,7 +49,7 @@
 }
 
 impl<S> MonitoredSocket<S> {
-    /// Counts from now on; the monitor is read by whoever judges the connection.
+    /// Wraps a socket, and returns it with the monitor that reports what it receives from now on.
     pub(crate) fn new(socket: S) -> (Self, Monitor) {
         let now = Instant::now();
         let snapshot = Snapshot { last_received: now, received_bytes: 0 };
--- a/crates/gateway/src/connection/traffic.rs
+++ b/crates/gateway/src/connection/traffic.rs
@@ -1,11 +1,9 @@
-//! What links between entries carry, in counters.
-//!
-//! `docs/OPERATIONS.md` lists the names.
+//! Metrics of the traffic on links between entries.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Meter};
 
-/// The counters of all links of a process.
+/// Counters over all links of a process.
 #[derive(Clone, Debug)]
 pub(crate) struct Traffic {
     frames: Counter<u64>,
@@ -15,7 +13,7 @@
 }
 
 impl Traffic {
-    /// Counters of this meter.
+    /// Creates the counters with a meter.
     pub(crate) fn new(meter: &Meter) -> Self {
         let counter = |name: &'static str, description: &'static str| {
             meter.u64_counter(name).with_description(description).build()
