--- a/crates/gateway/tests/answers.rs
+++ b/crates/gateway/tests/answers.rs
@@ -1,4 +1,5 @@
-//! What a caller gets when a target's answer is cut, spoilt, crossed or lost.
+//! What a caller receives if the answer of a target is truncated, invalid, for another request or
+//! missing.
 
 mod support;
 
@@ -13,22 +14,22 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nfireflyhoist-request: r-1\r\n";
 
-/// What a target does with the first request; the second gets a whole answer.
+/// How the first request to a target fails; the second one gets a complete answer.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// Ends in order, without having given a length.
+    /// The answer has no length and ends with an orderly close.
     Unframed,
-    /// Is reset, without having given a length.
+    /// The answer has no length and is cut off by a reset.
     UnframedReset,
-    /// Ends before the length that it gave.
+    /// The answer ends before its `content-length`.
     Truncated,
-    /// Sends bytes that are no response.
+    /// The bytes are not an HTTP response.
     Garbage,
-    /// Answers another request.
+    /// The answer has the id of another request.
     MismatchedId,
-    /// Reads the request and hangs up.
+    /// The target reads the request and resets the connection.
     Reset,
-    /// Says that it did not run it.
+    /// The answer says that the request was not run.
     Declined,
 }
 
@@ -55,7 +56,7 @@
 async fn send(kind: Kind, fault: Fault) -> (Answer, Vec<Seen>) {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", kind)]));
-    // Both play by one count, so that the second request is answered wherever it goes.
+    // Both targets share one count, so that the second request succeeds at either.
     let count = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let mut targets = Vec::new();
     for name in ["t-1", "t-2"] {
@@ -72,9 +73,8 @@
     (answer, targets.iter().flat_map(Standin::seen).collect())
 }
 
-/// A member searches for a ship and sees half a line as if it were the whole entry: the target's
-/// answer broke off, and what had come was passed on as complete. An answer that can be fetched
-/// again is, and the caller sees only the whole one.
+/// Guards against an answer that broke off being passed on as complete. An idempotent request is
+/// sent again, and the caller receives only the complete answer.
 #[parameterized(
     unframed_reset = { Fault::UnframedReset },
     truncated = { Fault::Truncated },
@@ -90,9 +90,9 @@
     assert_eq!(seen.len(), 2);
 }
 
-/// A coordinator's dispatch is answered with a failure although it went out, she sends it again,
-/// and two crews are paid; or the entry itself sends it again. The answer was lost after the target
-/// had the request, so nobody can tell whether it ran: it is sent once, and the answer says so.
+/// Guards against a request that must not run twice being sent again, by the entry or by a caller
+/// that was told that it failed. If the answer is lost after the target received the request,
+/// nobody knows whether it ran: it is sent once, and the error says `unknown`.
 #[parameterized(
     unframed_reset = { Fault::UnframedReset },
     truncated = { Fault::Truncated },
@@ -108,8 +108,8 @@
     assert_eq!(seen.len(), 1);
 }
 
-/// A dispatch fails although the next target was free: the first had said that it was full and had
-/// not run it, which makes a second attempt safe for any request.
+/// Guards against a request failing although another target was free: if a target says that it did
+/// not run a request, a second attempt is safe for any kind.
 #[ntex::test]
 async fn a_declined_request_goes_to_another_target() {
     let (answer, seen) = send(Kind::Unsafe, Fault::Declined).await;
@@ -117,8 +117,8 @@
     assert_eq!(seen.len(), 2);
 }
 
-/// A service that never gives lengths seems to be down: its answers end with their connections, and
-/// an orderly end is the end of a whole answer.
+/// Guards against a service that never sends lengths being taken for broken: its answers end with
+/// their connections, and an orderly close completes an answer.
 #[ntex::test]
 async fn an_answer_that_ends_with_an_orderly_close_is_complete() {
     let (answer, seen) = send(Kind::Unsafe, Fault::Unframed).await;
@@ -126,8 +126,8 @@
     assert_eq!(seen.len(), 1);
 }
 
-/// A caller that checks receipts finds the entry's own failure under a target's receipt, or a
-/// target's failure turned into another. A target's failure goes back as it is.
+/// Guards against an error of a target being replaced by one of the entry, or the headers of a
+/// target being added to such an error. Errors of targets are passed on unchanged.
 #[ntex::test]
 async fn an_error_response_of_a_target_is_passed_on_unchanged() {
     let registry = Registry::open().await;
@@ -140,7 +140,7 @@
     assert_eq!(answer.header("x-stamp"), Some("s-1"));
 }
 
-/// Every target is full: the caller is told at once that nothing ran and when to come back.
+/// If every target is full, the caller learns at once that nothing ran and when to retry.
 #[ntex::test]
 async fn a_request_declined_by_every_target_gets_a_retry_time() {
     let registry = Registry::open().await;
@@ -151,13 +151,14 @@
     let answer = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
     assert_eq!(answer.status, 503);
     assert!(answer.body.contains("\"ran\":\"no\""), "{}", answer.body);
-    let after: f64 = answer.header("retry-after").and_then(|v| v.parse().ok()).expect("a time");
+    let after: f64 =
+        answer.header("retry-after").and_then(|v| v.parse().ok()).expect("a retry time");
     assert!(after > 0.0 && after < 2.0, "{after}");
     assert!(answer.took < Duration::from_secs(1), "{:?}", answer.took);
 }
 
-/// A target is listed and gone: nothing listens there. No byte was written, so even a request that
-/// may not run twice goes to the other.
+/// A listed target does not listen any more. No byte was written, so even a request that must not
+/// run twice goes to another target.
 #[ntex::test]
 async fn a_request_that_could_not_connect_goes_to_another_target() {
     let registry = Registry::open().await;
@@ -175,8 +176,8 @@
     }
 }
 
-/// A lookup is refused as not run although a target may have run it: both targets hung up after
-/// they had the request. A refusal that says that nothing ran must be true for every kind.
+/// Guards against a request being reported as not run although a target may have run it: both
+/// targets reset the connection after they received it. This must hold for idempotent requests too.
 #[ntex::test]
 async fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let registry = Registry::open().await;
--- a/crates/gateway/tests/broken_runs.rs
+++ b/crates/gateway/tests/broken_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that break off, and what is known of their targets.
+//! Runs that break off, and whether their targets have ended.
 
 mod support;
 
@@ -20,7 +20,7 @@
     found.unwrap_or_default()
 }
 
-/// Guards against a target that ended being taken for one whose connection was reset.
+/// Guards against a target that ended being confused with one that reset a connection.
 #[parameterized(
     ends_before_its_head = { SAFE, vec![Step::End], "ended" },
     ends_within_a_stream = { STREAM, vec![stream_head(), event(1), Step::End], "ended" },
@@ -42,7 +42,7 @@
     eventually(async || !broken_runs(&gateway, fate).await.is_empty()).await;
 }
 
-/// Guards against a target with a failure of its own being counted as one that broke off.
+/// Guards against an error response of a target being counted as a broken run.
 #[ntex::test]
 async fn an_error_response_is_not_a_broken_run() {
     let registry = Registry::open().await;
@@ -57,7 +57,7 @@
     }
 }
 
-/// Guards against a target that was replaced at its address being taken for one that lives.
+/// Guards against a target being considered alive because its replacement listens at its address.
 #[ntex::test]
 async fn a_target_that_is_replaced_at_once_has_ended() {
     let registry = Registry::open().await;
@@ -72,7 +72,7 @@
     for nth in 0..3 {
         let _ = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
         eventually(async || broken_runs(&gateway, "lives").await == (nth + 1).to_string()).await;
-        // The next start is listed, and the one before no more.
+        // The next target is listed, and the previous one is not any more.
         let next = Standin::open(&format!("t-{}", nth + 1), "web", script).await;
         registry.put(next.listed.clone());
         let old = listed(&format!("t-{nth}"), "web", next.listed.address);
@@ -82,7 +82,8 @@
     eventually(async || page().await.contains("fireflyhoist_held_requests 1")).await;
 }
 
-/// Guards against a target that ended being taken for one that left once another answers at its address.
+/// Guards against a target that ended being considered to have left, because another one answers
+/// at its address.
 #[ntex::test]
 async fn a_target_whose_address_was_taken_over_has_ended() {
     let registry = Registry::open().await;
@@ -99,13 +100,13 @@
         gateway(&registry).await
     };
     for nth in 0..3 {
-        let ask = async |body: &str| {
+        let send = async |body: &str| {
             Request::new("POST", "/web/x").body(body).send(gateway.callers()).await
         };
-        ask("b").await;
+        send("b").await;
         eventually(async || broken_runs(&gateway, "lives").await == (nth + 1).to_string()).await;
-        // Past the pause after a failure.
-        eventually(async || ask("c").await.body.contains("declined")).await;
+        // Until the target gets requests again, after the pause that follows its failure.
+        eventually(async || send("c").await.body.contains("declined")).await;
         let next = Standin::open(&format!("t-{}", nth + 1), "web", script).await;
         registry.put(next.listed.clone());
         registry.remove(&listed(&format!("t-{nth}"), "web", next.listed.address));
--- a/crates/gateway/tests/cold.rs
+++ b/crates/gateway/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Targets that are cold crash above a bound over all entries together.
+//! The limit on requests to cold targets, which crash if all entries together exceed it.
 
 mod support;
 
@@ -19,19 +19,19 @@
 use tokio::time::{Instant, sleep};
 use yare::parameterized;
 
-/// Requests a second that a cold target takes.
+/// The rate that a cold target takes, in requests a second.
 const COLD_REQUESTS_PER_S: f64 = 2.0;
 
-/// The most that it may get in a second: one and a half times as many, and one.
+/// The most requests that it may get in any second: one and a half times the rate, plus one.
 const MAX_PER_SECOND: usize = 4;
 
-/// For how long targets are cold after a start.
+/// How long a target is cold after it starts.
 const COLD_PERIOD: Duration = Duration::from_secs(3);
 
-/// Between two requests of the same caller.
+/// The time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
-/// A target that notes when requests reach it.
+/// A target that records when requests arrive.
 struct Recorder {
     listed: Target,
     arrivals: Arc<Mutex<Vec<Instant>>>,
@@ -59,7 +59,7 @@
         self.arrivals.lock().len()
     }
 
-    /// The most in any second.
+    /// Returns the highest number of requests in any second.
     fn peak(&self) -> usize {
         let arrivals = self.arrivals.lock();
         let within = |(nth, first): (usize, &Instant)| {
@@ -89,7 +89,7 @@
         until_ready(&entry).await;
         fleet.push(entry);
     }
-    // Entries that don't know each other yet would each decide for all.
+    // Until entries know each other, each would own all token buckets.
     for entry in &fleet {
         let known = Request::get("/v1/entries?domain=hala-a");
         let all = async || known.send(entry.directory()).await.body.matches("entry-").count();
@@ -98,7 +98,7 @@
     fleet
 }
 
-/// Asks at all entries for a while.
+/// Sends requests to all entries in turn for this time, and returns how many.
 async fn send_for(fleet: &[Gateway], lasts: Duration) -> usize {
     let end = Instant::now() + lasts;
     let mut served = 0;
@@ -114,7 +114,7 @@
     served
 }
 
-/// Guards against cold targets, which look emptiest to every entry, getting all that waits.
+/// Guards against cold targets, which look least loaded to every entry, getting all the requests.
 #[parameterized(one_entry = { 1 }, three_entries = { 3 })]
 #[test_macro(ntex::test)]
 async fn cold_targets_are_rate_limited(entries: usize) {
@@ -126,7 +126,7 @@
     cold.iter().for_each(|target| registry.put(target.cold(1)));
     let served = send_for(&fleet, COLD_PERIOD.mul_f64(0.8)).await;
     for target in &cold {
-        assert!(target.peak() <= MAX_PER_SECOND, "{} in a second", target.peak());
+        assert!(target.peak() <= MAX_PER_SECOND, "{} requests in a second", target.peak());
         assert!(target.count() >= 1, "of {served}");
     }
     sleep(COLD_PERIOD).await;
@@ -136,7 +136,7 @@
     assert!(after - before > served / 3, "{} of {served}", after - before);
 }
 
-/// Guards against a target that becomes cold without a restart being taken for warm.
+/// Guards against a target that becomes cold without a restart being treated as warm.
 #[ntex::test]
 async fn a_target_that_becomes_cold_again_is_rate_limited() {
     let registry = registry().await;
@@ -146,14 +146,15 @@
     let fleet = fleet(&registry, 2).await;
     send_for(&fleet, Duration::from_millis(500)).await;
     registry.put(again.cold(2));
-    // The word takes its way.
+    // Until the change has reached all entries.
     sleep(Duration::from_millis(300)).await;
     again.arrivals.lock().clear();
     send_for(&fleet, COLD_PERIOD / 2).await;
-    assert!(again.peak() <= MAX_PER_SECOND, "{} in a second", again.peak());
+    assert!(again.peak() <= MAX_PER_SECOND, "{} requests in a second", again.peak());
 }
 
-/// Guards against a domain whose cordon is lifted getting a rush before leases say that it is cold.
+/// Guards against a domain getting too many requests after its cordon is lifted, before its leases
+/// say that it is cold.
 #[ntex::test]
 async fn a_domain_whose_cordon_is_lifted_is_treated_as_cold() {
     let registry = registry().await;
@@ -167,10 +168,10 @@
     assert_eq!(returned.count(), 0);
     registry.lift(&domain);
     send_for(&fleet, Duration::from_secs(2)).await;
-    assert!(returned.peak() <= MAX_PER_SECOND, "{} in a second", returned.peak());
+    assert!(returned.peak() <= MAX_PER_SECOND, "{} requests in a second", returned.peak());
 }
 
-/// Guards against entries that start among cold targets sending before they know.
+/// Guards against starting entries sending requests before they know which targets are cold.
 #[ntex::test]
 async fn entries_that_start_know_which_targets_are_cold() {
     let registry = registry().await;
@@ -179,5 +180,5 @@
     registry.put(cold.cold(1));
     let fleet = fleet(&registry, 3).await;
     send_for(&fleet, Duration::from_millis(800)).await;
-    assert!(cold.peak() <= MAX_PER_SECOND, "{} in a second", cold.peak());
+    assert!(cold.peak() <= MAX_PER_SECOND, "{} requests in a second", cold.peak());
 }
--- a/crates/gateway/tests/cordons.rs
+++ b/crates/gateway/tests/cordons.rs
@@ -1,4 +1,4 @@
-//! Failure domains that are cordoned: nothing new reaches their targets, by whichever way.
+//! Cordoned failure domains: no new request reaches their targets in any way.
 
 mod support;
 
@@ -14,10 +14,10 @@
 use support::{eventually, route, text, unready, until_ready};
 use yare::parameterized;
 
-/// Within which every entry must know what the registry tells.
+/// The time within which every entry must know a change in the registry.
 const PROPAGATION: Duration = Duration::from_secs(1);
 
-/// A registry where nothing listens.
+/// The address of a registry that cannot be reached.
 const UNREACHABLE: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
@@ -69,7 +69,7 @@
     Request::new("POST", "/web/x").body("b").send(entry.callers()).await
 }
 
-/// Asks each entry some times and returns how many reached a target.
+/// Sends eight requests for each entry, and returns how many of them reached a target.
 async fn count_reached(fleet: &[Gateway], target: &Standin) -> usize {
     let before = target.seen().len();
     for entry in fleet.iter().cycle().take(8 * fleet.len()) {
@@ -78,7 +78,7 @@
     target.seen().len() - before
 }
 
-/// Guards against entries that go on sending to a cordoned domain, or never come back to it.
+/// Guards against entries sending to a cordoned domain, or not sending after the cordon is lifted.
 #[parameterized(one_entry = { 1 }, three_entries = { 3 })]
 #[test_macro(ntex::test)]
 async fn a_cordoned_domain_gets_nothing_until_it_is_lifted(entries: usize) {
@@ -96,7 +96,7 @@
     assert!(count_reached(&fleet, &cordoned_target).await > 0);
 }
 
-/// Guards against the last of several changes within a second being missed.
+/// Guards against missing the last of several changes within a second.
 #[parameterized(ends_cordoned = { true }, ends_lifted = { false })]
 #[test_macro(ntex::test)]
 async fn the_last_of_several_quick_changes_is_in_force(cordoned: bool) {
@@ -116,7 +116,8 @@
     assert_eq!(count_reached(&fleet, &cordoned_target).await == 0, cordoned);
 }
 
-/// Guards against a removal that falls into history that the registry has dropped, or a lost answer.
+/// Guards against missing a lifted cordon because the registry dropped that part of its history, or
+/// because an answer was lost.
 #[parameterized(
     history_dropped = { true },
     answers_lost = { false },
@@ -142,13 +143,14 @@
     } else {
         registry.lose_calls();
     }
-    // A lost answer is noticed when its watch is overdue.
+    // A lost answer is noticed when the call of the watch times out.
     tokio::time::sleep(PROPAGATION * 3).await;
     assert!(count_reached(&fleet, &cordoned_target).await > 0);
     assert_eq!(count_reached(&fleet, &other).await, 0);
 }
 
-/// Guards against a registry that comes back from a copy opening a domain, or keeping one closed.
+/// Guards against a registry that is restored from an older copy lifting a cordon, or keeping one
+/// that was lifted.
 #[parameterized(
     copy_lacks_it = { true },
     copy_still_has_it = { false },
@@ -173,7 +175,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     registry.restore(copy);
     registry.set_mood(Mood::Well);
-    // The operator's tool writes it again only after entries have read.
+    // The operator's tool repeats the change only after entries have read the copy.
     tokio::time::sleep(PROPAGATION).await;
     if lacks {
         assert_eq!(count_reached(&fleet, &cordoned_target).await, 0);
@@ -183,7 +185,8 @@
     assert_eq!(count_reached(&fleet, &cordoned_target).await == 0, lacks);
 }
 
-/// Guards against an entry that starts, or that the registry turns away, sending to a cordoned domain.
+/// Guards against a starting entry sending to a cordoned domain, whether or not it reaches the
+/// registry.
 #[parameterized(starts = { true }, registry_unreachable = { false })]
 #[test_macro(ntex::test)]
 async fn a_joining_entry_knows_cordons_before_it_is_ready(reads: bool) {
@@ -200,7 +203,7 @@
     assert_eq!(count_reached(&fleet[2..], &cordoned_target).await, 8);
 }
 
-/// Guards against requests waiting for places that don't come, or being told that they may have run.
+/// Guards against requests waiting in vain, or being reported as possibly run.
 #[parameterized(lookup = { false }, generation = { true })]
 #[test_macro(ntex::test)]
 async fn with_all_domains_cordoned_requests_are_refused_at_once(generation: bool) {
@@ -224,27 +227,28 @@
     assert!(targets.iter().all(|target| target.seen().is_empty()));
 }
 
-/// Guards against a request that waits for a place being left to its deadline.
+/// Guards against a queued request waiting until its deadline.
 #[ntex::test]
 async fn a_queued_request_is_refused_when_its_domain_is_cordoned() {
     let registry = registry().await;
-    // Prompts that are not read yet keep others from being sent there.
-    let unread = |_: &Seen| vec![stream_head(), Step::Wait(Duration::from_secs(3)), stream_end()];
-    let engine = target(&registry, "gen-1", "a", unread).await;
+    // No more requests are sent to an engine that has not prefilled the prompts it has.
+    let slow_prefill =
+        |_: &Seen| vec![stream_head(), Step::Wait(Duration::from_secs(3)), stream_end()];
+    let engine = target(&registry, "gen-1", "a", slow_prefill).await;
     let fleet = fleet(&registry, 1).await;
     let callers = fleet[0].callers();
     let request = Request::stream("/gen/x", 20).body("b");
     let _reading = [request.open(callers).await, request.open(callers).await];
     eventually(async || engine.seen().len() == 2).await;
-    let waits = tokio::task::spawn_local(async move { request.send(callers).await });
+    let queued = tokio::task::spawn_local(async move { request.send(callers).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     registry.cordon(&domain("a"));
-    let refused = waits.await.expect("an answer");
+    let refused = queued.await.expect("an answer");
     assert_eq!((refused.status, engine.seen().len()), (503, 2), "{refused:?}");
     assert!(refused.took < PROPAGATION * 2, "{refused:?}");
 }
 
-/// Guards against answers that run in a cordoned domain being cut.
+/// Guards against running answers in a cordoned domain being cut off.
 #[ntex::test]
 async fn a_running_answer_in_a_cordoned_domain_completes_there() {
     let registry = registry().await;
@@ -264,7 +268,7 @@
     assert_eq!(engine.seen().len(), 1);
 }
 
-/// Guards against hedges, repeats and resumptions reaching a cordoned domain.
+/// Guards against hedges, retries and resumptions reaching a cordoned domain.
 #[parameterized(
     hedge = { "/web/x", Duration::from_millis(600) },
     resumption = { "/gen/x", Duration::ZERO },
@@ -297,7 +301,7 @@
     let registry = registry().await;
     let script = |_: &Seen| vec![stream_head(), event(1), stream_end()];
     let engine = target(&registry, "gen-1", "a", script).await;
-    let _closed = target(&registry, "gen-2", "b", script).await;
+    let _cordoned = target(&registry, "gen-2", "b", script).await;
     let copies = |seen: &[Seen]| {
         seen.iter().filter(|seen| seen.header("fireflyhoist-backup").is_some()).count()
     };
@@ -315,7 +319,8 @@
     .await;
 }
 
-/// Guards against an entry that is linked before its peers know never hearing that there are no cordons.
+/// Guards against an entry never learning that there are no cordons, because its link was opened
+/// before its peer knew.
 #[ntex::test]
 async fn entries_that_start_together_learn_that_there_are_no_cordons() {
     let registry = registry().await;
--- a/crates/gateway/tests/links.rs
+++ b/crates/gateway/tests/links.rs
@@ -1,4 +1,4 @@
-//! What an operator reads of the links between entries.
+//! Metrics of the links between entries.
 
 mod support;
 
@@ -13,14 +13,14 @@
 use support::{eventually, route, start_behind_proxy, text, unready, until_ready};
 use tokio::time::sleep;
 
-/// Whether the metrics of an entry have a line that begins so.
+/// Returns whether the metrics of an entry contain a name or series that starts with `prefix`.
 async fn has_metric(entry: &Gateway, prefix: &str) -> bool {
     let page = Request::get("/metrics").send(entry.metrics()).await.body;
     page.contains(&format!("fireflyhoist_{prefix}"))
 }
 
-/// An entry serves an old text and nobody can tell why: its links came and went. The metrics say
-/// how many ended for which reason, and what they carried by kind of frame.
+/// Guards against links that open and close without a trace, so that nobody can tell why an entry
+/// serves an old configuration. The metrics count ended links by reason, and traffic by frame.
 #[ntex::test]
 async fn metrics_report_link_traffic_and_close_reasons() {
     let registry = Registry::open().await;
@@ -33,18 +33,17 @@
     assert!(!has_metric(&second, "links_lost_total{").await);
     proxy.stall();
     eventually(async || has_metric(&second, r#"links_lost_total{reason="silent"}"#).await).await;
-    // The end that only wrote hears of it from the other.
+    // The end that still receives bytes learns of it when the other closes the link.
     eventually(async || has_metric(&first, r#"links_lost_total{reason="ended"}"#).await).await;
 }
 
-/// A link is closed, as silent or as stuck, although bytes never ceased to come and to go on it. Its
-/// end writes a list that a narrow link takes seconds for. It reads nothing meanwhile, so that the
-/// latest byte which it has read is old in the end; and a system that took in a hundred kilobytes takes
-/// no more until a third of them are gone, which looks like a write that stands still. Printed times
-/// of writes and losses showed both.
+/// Guards against a link being closed while its end writes a list for which a slow link takes
+/// seconds. If that end reads nothing meanwhile, its latest byte looks too old afterwards. And an
+/// operating system that buffered a hundred kilobytes accepts no more until a third of them are
+/// sent, so that a timeout for writes would take the link for stuck.
 #[ntex::test]
 async fn a_slow_write_does_not_close_a_link() {
-    // A quarter of a megabyte, of which the sockets between hold a part.
+    // A list of a quarter of a megabyte, part of which is buffered by the sockets.
     const TARGETS: usize = 2_500;
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
--- a/crates/gateway/tests/resubmission.rs
+++ b/crates/gateway/tests/resubmission.rs
@@ -1,4 +1,4 @@
-//! Requests that are sent away and come back to another entry.
+//! Refused requests that their callers send again to another entry.
 
 mod support;
 
@@ -15,13 +15,13 @@
 
 const STREAM: Kind = Kind::Stream { resumable: false };
 
-/// Three heartbeats.
+/// The time until a change has reached the other entry: three heartbeats.
 const PROPAGATION: Duration = Duration::from_millis(450);
 
-/// Drafts after which an engine is surely full.
+/// Number of drafts that exceeds the capacity of an engine.
 const MAX_DRAFTS: usize = 12;
 
-/// A draft of 12,000 tokens, of which some five fit into an engine.
+/// Returns a request with a prompt of 12,000 tokens, about five of which fit into an engine.
 fn draft(body: &str) -> Request {
     Request::new("POST", "/gen/x")
         .header("fireflyhoist-prompt-tokens", "12000")
@@ -37,14 +37,14 @@
     let known = Request::get("/v1/entries?domain=hala-a");
     eventually(async || known.send(first.directory()).await.body.matches("entry-").count() == 2)
         .await;
-    // Both have told each other what they hold, and so know what the engine has.
+    // Until both entries know the load of each other on the engine.
     tokio::time::sleep(PROPAGATION).await;
     (first, second)
 }
 
-/// An estimator's draft is refused when all engines are full, and comes back to another entry just
-/// as one place is free. A second estimator's draft, new and still able to begin on time, comes in
-/// the same moment. Taken for new, the first would take the place and make both late.
+/// Guards against a resubmitted request being treated as new. A draft is refused while all engines
+/// are full, and is sent again to another entry when a place becomes free. A new draft, which can
+/// still begin on time, arrives shortly after. If the first one took the place, both would be late.
 #[ntex::test]
 async fn a_resubmitted_request_does_not_displace_a_new_one() {
     let registry = Registry::open().await;
@@ -53,7 +53,7 @@
     let first_may_end = Arc::new(AtomicBool::new(false));
     let may_end = Arc::clone(&first_may_end);
     let script = move |seen: &Seen| match seen.body.as_str() {
-        // The first of the two ends when told.
+        // The first draft runs until the test ends it.
         "first" => {
             let mut steps = vec![stream_head(), event(1)];
             let may_end = Arc::clone(&may_end);
@@ -67,7 +67,7 @@
     registry.put(engine.listed.clone());
     let (first, second) = linked_pair(&registry).await;
     let (one, two) = (first.callers(), second.callers());
-    // Drafts fill the engine until one is refused.
+    // Fills the engine until a draft is refused.
     let mut refused = None;
     for number in 0..MAX_DRAFTS {
         let body = if number == 0 { "first".to_owned() } else { format!("draft {number}") };
@@ -82,11 +82,11 @@
             break;
         }
     }
-    let (refused, answer) = refused.expect("one is refused");
+    let (refused, answer) = refused.expect("a draft is refused");
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.body.contains("\"ran\":\"no\"") && answer.header("retry-after").is_some());
     first_may_end.store(true, Ordering::SeqCst);
-    // A place is free, and the other entry knows it.
+    // A place becomes free, and the other entry learns of it.
     tokio::time::sleep(PROPAGATION).await;
     let resubmitted = refused.clone();
     ntex::rt::spawn(async move { draft(&resubmitted).send(two).await }).detach();
@@ -94,5 +94,5 @@
     ntex::rt::spawn(async move { draft("new").send(two).await }).detach();
     let ran = |body: &str| engine.seen().iter().any(|seen| seen.body == body);
     eventually(async || ran("new")).await;
-    assert!(!ran(&refused), "the one that came back waits");
+    assert!(!ran(&refused), "the resubmitted request waits");
 }
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -1,4 +1,4 @@
-//! Many entries that start at the same moment.
+//! Entries that start, many of them at the same moment.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use support::target::{Standin, answer, listed};
 use support::{route, start_with_power, text, unready, until_ready};
 
-/// Strong entries, which are to carry the traffic.
+/// Number of entries with high power, which are to become actives.
 const STRONG_ENTRIES: usize = 6;
 
 async fn registry() -> Registry {
@@ -24,17 +24,19 @@
     registry
 }
 
-/// Starts three seeds and `more` other entries, and waits until all are ready.
+/// Starts three seeds and `more` other entries, [`STRONG_ENTRIES`] of them with high power, and
+/// waits until all are ready.
 async fn start(registry: &Registry, more: usize) -> Vec<Gateway> {
     start_fleet(registry, STRONG_ENTRIES, more).await
 }
 
-/// The same, with so many strong ones among the others.
+/// Starts three seeds and `more` other entries, `strong` of them with high power, and waits until
+/// all are ready.
 async fn start_fleet(registry: &Registry, strong: usize, more: usize) -> Vec<Gateway> {
     let mut gateways = Vec::new();
     let mut seeds = Vec::new();
     for n in 0..3 {
-        // Each knows those before it, as they have ports of their own.
+        // Each seed knows only the earlier ones, since ports are assigned when it binds.
         let seed = start_with_power(registry.address(), &format!("seed-{n}"), &seeds, 0.5).await;
         seeds.push(seed.peers());
         gateways.push(seed);
@@ -49,23 +51,23 @@
     gateways
 }
 
-/// Guards against calls of the registry that grow with the number of entries that start.
+/// Guards against registry calls growing with the number of entries that start.
 #[ntex::test]
 async fn registry_calls_at_start_do_not_grow_with_the_fleet() {
     let registry = registry().await;
     let _gateways = start(&registry, 40).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    // Two lists for each of the few that are active, and what those that watch ask.
+    // Two lists for each of the few actives, and the calls of those that watch the registry.
     assert!(registry.calls() < 100, "{} calls", registry.calls());
 }
 
-/// Guards against each change of targets going to an entry that stands by from both of its actives.
+/// Guards against a leaf receiving each change of targets from both of its actives.
 #[ntex::test]
 async fn a_leaf_receives_each_change_once() {
     const CHANGES: usize = 10;
     let registry = registry().await;
     let gateways = start_fleet(&registry, 0, 14).await;
-    // Links settle: those to seeds are closed where neither end has a use for them.
+    // Links to seeds that neither end uses are closed meanwhile.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let leaf = gateways.last().expect("a leaf");
     let before = changes_received(leaf).await;
@@ -75,11 +77,11 @@
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let received = changes_received(leaf).await - before;
-    // Half as many more, for changes that the registry's watch tells in two parts.
+    // Up to half as many more, since the watch of the registry may report a change in two parts.
     assert!((1..=CHANGES + CHANGES / 2).contains(&received), "{received} for {CHANGES} changes");
 }
 
-/// Frames with changes of targets that an entry has received.
+/// Returns how many frames with changes of targets an entry has received.
 async fn changes_received(gateway: &Gateway) -> usize {
     let page = Request::get("/metrics").send(gateway.metrics()).await.body;
     let name = r#"fireflyhoist_link_frames_total{frame="changes",way="received"} "#;
@@ -87,7 +89,7 @@
     count.unwrap_or_default()
 }
 
-/// Guards against an entry that takes changes of targets for their list, and never gets ready.
+/// Guards against an entry treating changes of targets as the complete list and never being ready.
 #[ntex::test]
 async fn entries_that_start_before_any_target_get_ready() {
     let registry = Registry::open().await;
@@ -103,11 +105,11 @@
     let started = tokio::time::Instant::now();
     let second = unready(registry.address(), "second", &[seed.peers()]).await;
     tokio::join!(put, until_ready(&second));
-    // Before it would read the registry itself.
+    // Before the entry would have read the registry itself.
     assert!(started.elapsed() < TRANSFER_GRACE, "after {:?}", started.elapsed());
 }
 
-/// Guards against refusing callers that come in the moment in which an entry is told what it needs.
+/// Guards against refusing requests while a starting entry receives what it needs.
 #[ntex::test]
 async fn a_request_during_the_start_is_served() {
     let registry = Registry::open().await;
@@ -121,7 +123,8 @@
     assert_eq!((answer.status, answer.body.as_str()), (200, "web"));
 }
 
-/// Guards against an entry that joins while the registry is away and takes callers knowing nothing.
+/// Guards against an entry that starts while the registry does not answer and learns nothing from
+/// its peers.
 #[ntex::test]
 async fn an_entry_starts_from_its_peers_while_the_registry_is_silent() {
     let registry = registry().await;
@@ -134,7 +137,7 @@
     assert!(started.elapsed() < Duration::from_secs(2), "after {:?}", started.elapsed());
 }
 
-/// Guards against a start that waits for seeds which are not there.
+/// Guards against an entry waiting for seeds that cannot be reached.
 #[ntex::test]
 async fn an_entry_without_reachable_seeds_reads_the_registry() {
     let registry = registry().await;
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that shows every byte that it got, and whether the answer was whole.
+//! An HTTP client that exposes every byte of an answer, and whether the answer was complete.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,32 +9,32 @@
 
 use super::{KEY, TEST_TIMEOUT};
 
-/// A request as bytes.
+/// A request to an entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     head: String,
     body: Vec<u8>,
 }
 
-/// What came back.
+/// The answer to a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Answer {
-    /// 0 where no answer came.
+    /// 0 if there was no answer.
     pub(crate) status: u16,
-    /// The head, in lowercase.
+    /// The status line and headers, in lowercase.
     pub(crate) head: String,
-    /// The body, its chunks joined.
+    /// The body, with its chunks joined.
     pub(crate) body: String,
-    /// Whether the body had come to its framed end.
+    /// Whether the body arrived up to its end as given by its framing.
     pub(crate) whole: bool,
-    /// Bytes after the answer.
+    /// Number of bytes after the answer.
     pub(crate) trailing_bytes: usize,
-    /// From the first byte sent to the end.
+    /// Time from connecting until the connection ended.
     pub(crate) took: Duration,
 }
 
 impl Answer {
-    /// A header's value.
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let prefix = format!("{name}: ");
         self.head.lines().find_map(|line| line.strip_prefix(prefix.as_str()))
@@ -42,25 +42,25 @@
 }
 
 impl Request {
-    /// A request of the one workspace, which names itself `r-1`.
+    /// Creates a request of the workspace `archive` with the request id `r-1`.
     pub(crate) fn new(method: &str, path: &str) -> Self {
         Self::keyless(method, path).header("authorization", &format!("Bearer {KEY}"))
     }
 
-    /// The same without a key.
+    /// Creates the same request without an API key.
     pub(crate) fn keyless(method: &str, path: &str) -> Self {
         let head = format!("{method} {path} HTTP/1.1\r\nhost: svc.example\r\n");
         let own = Self { head, body: Vec::new() };
         own.header("fireflyhoist-request", "r-1").header("connection", "close")
     }
 
-    /// A GET without anything of the product's.
+    /// Creates a GET request without any headers of fireflyhoist.
     pub(crate) fn get(path: &str) -> Self {
         let head = format!("GET {path} HTTP/1.1\r\nhost: any\r\nconnection: close\r\n");
         Self { head, body: Vec::new() }
     }
 
-    /// A generation with room for `limit` tokens.
+    /// Creates a request for a generation of at most `limit` tokens.
     pub(crate) fn stream(path: &str, limit: u64) -> Self {
         Self::new("POST", path)
             .header("fireflyhoist-prompt-tokens", "100")
@@ -77,7 +77,7 @@
         self.header("content-length", &body.len().to_string())
     }
 
-    /// Bytes after the head as they are.
+    /// Appends bytes to the head unchanged, without a `content-length`.
     pub(crate) fn raw(mut self, bytes: &[u8]) -> Self {
         self.body = bytes.to_vec();
         self
@@ -97,7 +97,7 @@
         let started = Instant::now();
         let mut stream = self.open(to).await;
         let mut bytes = Vec::new();
-        // A reset is an end as well; what came before counts.
+        // A reset also ends the answer; what was received before it counts.
         let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut bytes)).await;
         let mut answer = parse(&bytes);
         answer.took = started.elapsed();
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway on loopback before stand-ins that do exactly what a test tells them, byte for byte.
+//! A gateway on loopback in front of scripted targets, which send exactly the bytes that a test
+//! specifies.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -18,13 +19,13 @@
 
 use fireflyhoist_standin::registry::Registry;
 
-/// How long anything may take before a test gives up; generous, since no verdict rests on it.
+/// How long a test waits for anything before it fails; generous, since no test measures it.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The key that callers of the one workspace show.
+/// The API key of the workspace `archive`.
 pub(crate) const KEY: &str = "k-1";
 
-/// A route of `kind` under `/name/` to the service of that name.
+/// Returns a route of `kind` from `/name/` to the service of that name.
 pub(crate) fn route(name: &str, kind: Kind) -> Route {
     Route {
         name: name.into(),
@@ -42,7 +43,7 @@
     }
 }
 
-/// A text of these routes, each with a service of its own name.
+/// Returns a configuration text with these routes, each with a service of the same name.
 pub(crate) fn text(revision: u64, routes: Vec<Route>) -> Text {
     let service = |route: &Route| Service {
         name: route.name.parse().expect("name"),
@@ -70,7 +71,7 @@
     }
 }
 
-/// Settings with any free ports.
+/// Returns the settings of an entry that listens on free ports.
 pub(crate) fn settings(name: &str, registry: SocketAddr, seeds: &[SocketAddr]) -> Settings {
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     let text = format!(
@@ -103,7 +104,7 @@
     gateway
 }
 
-/// Starts a gateway of so many cores.
+/// Starts a gateway that announces this power, in cores.
 pub(crate) async fn start_with_power(
     registry: SocketAddr,
     name: &str,
@@ -114,7 +115,7 @@
     Gateway::bind::<Native>(settings, PathBuf::from("none")).await.expect("gateway")
 }
 
-/// Starts a gateway of so many cores that others reach over a narrow link.
+/// Starts a gateway that announces this power, and whose peers connect to it through a proxy.
 pub(crate) async fn start_behind_proxy(
     registry: SocketAddr,
     name: &str,
@@ -130,23 +131,23 @@
     (gateway, proxy)
 }
 
-/// Starts a gateway that may never get ready.
+/// Starts a gateway without waiting until it is ready.
 pub(crate) async fn unready(registry: SocketAddr, name: &str, seeds: &[SocketAddr]) -> Gateway {
     let settings = settings(name, registry, seeds);
     Gateway::bind::<Native>(settings, PathBuf::from("none")).await.expect("gateway")
 }
 
-/// Waits until a gateway says that it is ready.
+/// Waits until the readiness endpoint of a gateway answers 200.
 pub(crate) async fn until_ready(gateway: &Gateway) {
     let probe = caller::Request::get("/readyz");
     eventually(async || probe.send(gateway.readiness()).await.status == 200).await;
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds, and panics after [`TEST_TIMEOUT`].
 pub(crate) async fn eventually(mut holds: impl AsyncFnMut() -> bool) {
     let end = tokio::time::Instant::now() + TEST_TIMEOUT;
     while !holds().await {
-        assert!(tokio::time::Instant::now() < end, "it holds in time");
+        assert!(tokio::time::Instant::now() < end, "the condition holds in time");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/gateway/tests/support/proxy.rs
+++ b/crates/gateway/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback link of small bandwidth.
+//! A TCP proxy on loopback with limited bandwidth.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::sleep;
 
-/// How often a part of what a connection may carry passes.
+/// The interval at which a throttled connection forwards a chunk.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Bytes that wait in the proxy's own sockets at most, so that a heartbeat waits behind what its
-/// sender has written and not behind the proxy.
+/// The size of the socket buffers of the proxy, so that a heartbeat is delayed by what its sender
+/// has written before and not by what the proxy has buffered.
 const SOCKET_BUFFER_BYTES: u32 = 8 << 10;
 
-/// Bytes in a packet where packets are small, as on an Ethernet.
+/// The maximum segment size if packets are small, as on an Ethernet.
 const SMALL_SEGMENT_BYTES: u32 = 1_400;
 
-/// A link to one address, whose connections each carry so many bytes a second towards whoever
-/// opened them.
+/// A proxy to one address. Limits apply to each connection on its own, and to bytes sent towards
+/// the end that opened it.
 #[derive(Debug)]
 pub(crate) struct Proxy {
     address: SocketAddr,
@@ -31,7 +31,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Bytes a second; 0 where nothing bounds it.
+    /// The limit in bytes a second; 0 for no limit.
     bytes_per_second: AtomicU64,
     stalled: AtomicBool,
     small_packets: AtomicBool,
@@ -39,7 +39,7 @@
 }
 
 impl Proxy {
-    /// Listens on a free port and leads nowhere yet.
+    /// Listens on a free port, without a destination yet.
     pub(crate) fn open() -> (Self, PendingProxy) {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES).expect("a small window");
@@ -51,48 +51,48 @@
         (Self { address, state: Arc::clone(&state) }, PendingProxy { listener, state })
     }
 
-    /// Listens on a free port and leads to `to`.
+    /// Listens on a free port and forwards connections to `to`.
     pub(crate) fn to(to: SocketAddr) -> Self {
         let (proxy, pending) = Self::open();
         pending.forward_to(to);
         proxy
     }
 
-    /// Where it listens.
+    /// Returns the address that the proxy listens on.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bounds every connection to so many bytes a second from now on.
+    /// Limits every connection to this many bytes a second from now on.
     pub(crate) fn throttle(&self, bytes_per_second: u64) {
         self.state.bytes_per_second.store(bytes_per_second, Ordering::Relaxed);
     }
 
-    /// Holds all bytes from now on.
+    /// Forwards no more bytes from now on.
     pub(crate) fn stall(&self) {
         self.state.stalled.store(true, Ordering::Relaxed);
     }
 
-    /// Carries small packets on connections from now on. A system takes in as many bytes for sending
-    /// as some packets hold, which on loopback is two megabytes and more; then no write ever waits.
+    /// Uses small packets on new connections. The size of a send buffer depends on that of packets
+    /// and is two megabytes and more on loopback, where no write would ever have to wait.
     pub(crate) fn use_small_packets(&self) {
         self.state.small_packets.store(true, Ordering::Relaxed);
     }
 
-    /// Connections so far.
+    /// Returns how many connections were opened so far.
     pub(crate) fn connections(&self) -> usize {
         self.state.connections.load(Ordering::Relaxed)
     }
 }
 
-/// A link that does not yet know where it leads.
+/// A proxy that has no destination yet.
 pub(crate) struct PendingProxy {
     listener: TcpListener,
     state: Arc<State>,
 }
 
 impl PendingProxy {
-    /// Begins to carry connections.
+    /// Starts forwarding connections to `to`.
     pub(crate) fn forward_to(self, to: SocketAddr) {
         tokio::task::spawn_local(async move {
             while let Ok((near, _)) = self.listener.accept().await {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Passes bytes on until either end closes.
+/// Copies bytes until either end closes.
 async fn copy(state: &State, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
     loop {
         let bytes_per_second = state.bytes_per_second.load(Ordering::Relaxed);
@@ -131,7 +131,7 @@
         let mut bytes = vec![0; chunk.max(1)];
         let Ok(count) = from.read(&mut bytes).await else { return };
         if count == 0 {
-            // What is still on its way back is read by the other direction.
+            // The other direction may still have bytes to copy.
             let _ = to.shutdown().await;
             return sleep(Duration::from_secs(5)).await;
         }
--- a/crates/gateway/tests/support/restarting.rs
+++ b/crates/gateway/tests/support/restarting.rs
@@ -1,4 +1,4 @@
-//! A target that ends under some requests and comes back at its address under another name.
+//! Targets that crash on some requests and restart at the same address under another name.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,23 +10,23 @@
 
 use super::target::{Seen, Standin, Step};
 
-/// From the end of a target until the next one starts at its address.
+/// The delay from the crash of a target until the next one starts at its address.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
 
-/// What all targets of a test saw.
+/// The crashes of all targets of a test.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Crashes {
     count: Arc<AtomicUsize>,
 }
 
 impl Crashes {
-    /// How many targets have ended.
+    /// Returns how many targets have crashed.
     pub(crate) fn count(&self) -> usize {
         self.count.load(Ordering::SeqCst)
     }
 }
 
-/// Keeps a target up at one address; `script` says what each start does.
+/// Keeps a target running at one address; each start answers requests by `script`.
 pub(crate) fn spawn(
     registry: &Arc<Registry>,
     crashes: &Crashes,
--- a/crates/gateway/tests/support/target.rs
+++ b/crates/gateway/tests/support/target.rs
@@ -1,4 +1,4 @@
-//! A target that plays a script for each request, byte for byte.
+//! A target that runs a script for each request and sends exactly the bytes in it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,20 +18,20 @@
     Write(String),
     /// Waits.
     Wait(Duration),
-    /// Waits until something holds.
+    /// Waits until a condition holds.
     Until(Arc<dyn Fn() -> bool + Send + Sync>),
-    /// Waits until the entry closes its end, and notes when.
+    /// Waits until the entry closes the connection, and records when.
     Hang,
     /// Resets the connection.
     Reset,
-    /// Ends the target: its listener and every connection close.
+    /// Ends the target: closes its listener and all its connections.
     End,
 }
 
-/// A request as the target got it.
+/// A request that the target received.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
-    /// The head, names in lowercase as sent.
+    /// The request line and headers, as sent.
     pub(crate) head: String,
     pub(crate) body: String,
 }
@@ -59,12 +59,12 @@
     pub(crate) listed: Target,
     seen: Arc<Mutex<Vec<Seen>>>,
     closed: Arc<Mutex<Vec<Instant>>>,
-    /// The listener and the connections, until the target ends.
+    /// The tasks of the listener and the connections; empty after the target has ended.
     tasks: Arc<Mutex<Vec<AbortHandle>>>,
 }
 
 impl Standin {
-    /// Listens and plays `script` for each request, each on a connection of its own.
+    /// Listens on a free port and runs `script` for each request, each on its own connection.
     pub(crate) async fn open(
         name: &str,
         service: &str,
@@ -74,7 +74,7 @@
         Self::on(listener, name, service, script)
     }
 
-    /// The same on a listener that is there.
+    /// Does the same on an existing listener.
     pub(crate) fn on(
         listener: TcpListener,
         name: &str,
@@ -101,27 +101,27 @@
         own
     }
 
-    /// Ends at once: nothing listens any more, and every connection closes.
+    /// Ends the target: closes its listener and all its connections.
     pub(crate) fn end(&self) {
         self.tasks.lock().drain(..).for_each(|task| task.abort());
     }
 
-    /// Whether it has ended.
+    /// Returns whether the target has ended.
     pub(crate) fn has_ended(&self) -> bool {
         self.tasks.lock().is_empty()
     }
 
-    /// Requests that came so far.
+    /// Returns the requests received so far.
     pub(crate) fn seen(&self) -> Vec<Seen> {
         self.seen.lock().clone()
     }
 
-    /// When connections were found closed by the entry.
+    /// Returns when it was noticed that the entry had closed connections.
     pub(crate) fn closed(&self) -> Vec<Instant> {
         self.closed.lock().clone()
     }
 
-    /// Its entry once it drains.
+    /// Returns its registry entry in the draining state.
     pub(crate) fn draining(&self) -> Target {
         Target { state: State::Draining, ..self.listed.clone() }
     }
@@ -144,7 +144,7 @@
                     }
                 }
                 Step::Hang => {
-                    // A reset or an orderly end: the entry has let go.
+                    // The entry closed or reset the connection.
                     let _ = stream.read(&mut [0; 16]).await;
                     self.closed.lock().push(Instant::now());
                 }
@@ -163,7 +163,7 @@
     }
 }
 
-/// A registry entry of a target that is ready.
+/// Returns the registry entry of a ready target.
 pub(crate) fn listed(name: &str, service: &str, address: SocketAddr) -> Target {
     Target {
         id: name.parse().expect("name"),
@@ -205,7 +205,7 @@
     Some(seen)
 }
 
-/// A whole answer to request `r-1`.
+/// Returns the script of a complete answer to the request `r-1`.
 pub(crate) fn answer(status: u16, body: &str) -> Vec<Step> {
     vec![Step::Write(format!(
         "HTTP/1.1 {status} X\r\nfireflyhoist-request: r-1\r\nx-stamp: s-1\r\n\
@@ -214,7 +214,7 @@
     ))]
 }
 
-/// The answer of a target that did not run the request.
+/// Returns the script of an answer that says that the target did not run the request.
 pub(crate) fn declined() -> Vec<Step> {
     vec![Step::Write(
         "HTTP/1.1 503 X\r\nfireflyhoist-request: r-1\r\nfireflyhoist-declined: 1\r\n\
@@ -223,7 +223,7 @@
     )]
 }
 
-/// The head of a stream.
+/// Returns the step that sends the head of a stream.
 pub(crate) fn stream_head() -> Step {
     Step::Write(
         "HTTP/1.1 200 OK\r\nfireflyhoist-request: r-1\r\ncontent-type: text/event-stream\r\n\
@@ -232,18 +232,18 @@
     )
 }
 
-/// One event in a chunk of its own.
+/// Returns the step that sends one event in its own chunk.
 pub(crate) fn event(id: u64) -> Step {
     let text = format!("id: {id}\ndata: t{id}\n\n");
     Step::Write(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
-/// The end of a stream.
+/// Returns the step that sends the end of a stream.
 pub(crate) fn stream_end() -> Step {
     Step::Write("0\r\n\r\n".to_owned())
 }
 
-/// The text of events `from` to `to`.
+/// Returns the text of events `from` to `to`, both included.
 pub(crate) fn events(from: u64, to: u64) -> String {
     (from..=to).map(|id| format!("id: {id}\ndata: t{id}\n\n")).collect()
 }
