--- a/crates/gateway/tests/large_texts.rs
+++ b/crates/gateway/tests/large_texts.rs
@@ -13,9 +13,9 @@
 use fireflyhoist_policy::route::{Kind, Route, Text};
 use fireflyhoist_standin::registry::{Mood, Registry};
 use support::caller::Request;
-use support::narrow::Narrow;
+use support::proxy::Proxy;
 use support::target::{Standin, answer};
-use support::{behind, eventually, of_power, route, unready, until_ready};
+use support::{eventually, route, start_behind_proxy, start_with_power, unready, until_ready};
 use tokio::time::{Instant, sleep};
 
 /// Bandwidth of one connection of a narrow link, in bytes per second.
@@ -48,25 +48,26 @@
 /// everything else over narrow links.
 struct Fleet {
     leaves: Vec<Gateway>,
-    actives: Vec<(Gateway, Narrow)>,
-    to_registry: Narrow,
+    actives: Vec<(Gateway, Proxy)>,
+    to_registry: Proxy,
 }
 
 impl Fleet {
     /// Starts a fleet with unlimited bandwidth and waits until all entries are linked.
     async fn start(registry: &Registry) -> Self {
-        let to_registry = Narrow::to(registry.address());
+        let to_registry = Proxy::to(registry.address());
         let mut seeds = Vec::new();
         let mut actives = Vec::new();
         for nth in 0..2 {
-            let active = behind(registry.address(), &format!("active-{nth}"), &seeds, 1.0).await;
+            let active =
+                start_behind_proxy(registry.address(), &format!("active-{nth}"), &seeds, 1.0).await;
             seeds.push(active.1.address());
             actives.push(active);
         }
         let mut leaves = Vec::new();
         for nth in 0..12 {
             let name = format!("leaf-{nth}");
-            leaves.push(of_power(to_registry.address(), &name, &seeds, 0.1).await);
+            leaves.push(start_with_power(to_registry.address(), &name, &seeds, 0.1).await);
         }
         for entry in leaves.iter().chain(actives.iter().map(|(active, _)| active)) {
             until_ready(entry).await;
@@ -77,13 +78,13 @@
     }
 
     fn limit_bandwidth(&self) {
-        self.actives.iter().for_each(|(_, narrow)| narrow.squeeze(LINK_BYTES_PER_S));
-        self.to_registry.squeeze(LINK_BYTES_PER_S);
+        self.actives.iter().for_each(|(_, narrow)| narrow.throttle(LINK_BYTES_PER_S));
+        self.to_registry.throttle(LINK_BYTES_PER_S);
     }
 
     /// Number of links opened to the active entries so far.
     fn links_opened(&self) -> usize {
-        self.actives.iter().map(|(_, narrow)| narrow.opened()).sum()
+        self.actives.iter().map(|(_, narrow)| narrow.connections()).sum()
     }
 }
 
@@ -121,8 +122,8 @@
 async fn a_large_text_arrives_over_a_narrow_link_to_the_registry() {
     let registry = Registry::open().await;
     registry.publish(text(1, 400));
-    let narrow = Narrow::to(registry.address());
-    narrow.squeeze(LINK_BYTES_PER_S);
+    let narrow = Proxy::to(registry.address());
+    narrow.throttle(LINK_BYTES_PER_S);
     let entry = unready(narrow.address(), "entry-1", &[]).await;
     until_ready(&entry).await;
     assert!(has_route(&entry, 399).await);
@@ -135,9 +136,9 @@
     registry.publish(text(1, 400));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
     registry.put(target.listed.clone());
-    let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
+    let (first, narrow) = start_behind_proxy(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
-    narrow.squeeze(LINK_BYTES_PER_S);
+    narrow.throttle(LINK_BYTES_PER_S);
     let unresponsive = Registry::open().await;
     unresponsive.set_mood(Mood::Silent);
     let second = unready(unresponsive.address(), "entry-2", &[first.peers()]).await;
@@ -163,9 +164,9 @@
         let id = id.parse().expect("a name");
         registry.put(Target { id, ..standin.listed.clone() });
     }
-    let (first, narrow) = behind(registry.address(), "entry-1", &[], 1.0).await;
+    let (first, narrow) = start_behind_proxy(registry.address(), "entry-1", &[], 1.0).await;
     until_ready(&first).await;
-    narrow.squeeze(LINK_BYTES_PER_S);
+    narrow.throttle(LINK_BYTES_PER_S);
     let unresponsive = Registry::open().await;
     unresponsive.set_mood(Mood::Silent);
     let second = unready(unresponsive.address(), "entry-2", &[first.peers()]).await;
--- a/crates/gateway/tests/poison.rs
+++ b/crates/gateway/tests/poison.rs
@@ -9,7 +9,7 @@
 use fireflyhoist_policy::route::{Kind, Route};
 use fireflyhoist_standin::registry::Registry;
 use support::caller::{Answer, Request};
-use support::mortal::{self, Toll};
+use support::restarting::{self, Crashes};
 use support::target::{Seen, Step, event, events, stream_end, stream_head};
 use support::{eventually, route, text, unready, until_ready};
 use yare::parameterized;
@@ -35,7 +35,7 @@
 
 struct Fleet {
     registry: Arc<Registry>,
-    crashes: Toll,
+    crashes: Crashes,
     entries: Vec<Gateway>,
 }
 
@@ -45,9 +45,9 @@
         let registry = Arc::new(Registry::open().await);
         let route = Route { attempts: 2, ..route("gen", kind) };
         registry.publish(text(1, vec![route]));
-        let crashes = Toll::default();
+        let crashes = Crashes::default();
         for name in ["a", "b", "c", "d"] {
-            mortal::spawn(&registry, &crashes, name, serve);
+            restarting::spawn(&registry, &crashes, name, serve);
         }
         let mut fleet = Self { registry, crashes, entries: Vec::new() };
         for _ in 0..entries {
@@ -78,7 +78,7 @@
     /// received the crashes.
     async fn crash_until_suspect(&self) {
         for entry in (0..self.entries.len()).cycle() {
-            if self.crashes.ends() >= 3 {
+            if self.crashes.count() >= 3 {
                 break;
             }
             self.ask(entry, POISON).await;
@@ -99,12 +99,12 @@
 async fn a_request_that_crashes_its_targets_is_quarantined(entries: usize, kind: Kind) {
     let fleet = Fleet::open(entries, kind).await;
     fleet.crash_until_suspect().await;
-    let crashed = fleet.crashes.ends();
+    let crashed = fleet.crashes.count();
     for nth in 0..10 {
         fleet.ask(nth % entries, POISON).await;
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    let more = fleet.crashes.ends() - crashed;
+    let more = fleet.crashes.count() - crashed;
     assert!(more <= MAX_LATE_SENDS, "{more} more targets crashed");
     let refused = fleet.ask(0, POISON).await;
     assert_eq!(refused.status, 503, "{refused:?}");
@@ -123,10 +123,10 @@
     for nth in 0..4 {
         fleet.ask(nth % 2, POISON).await;
     }
-    let crashed = fleet.crashes.ends();
+    let crashed = fleet.crashes.count();
     fleet.join().await;
     for _ in 0..6 {
         assert_eq!(fleet.ask(2, POISON).await.status, 503);
     }
-    assert_eq!(fleet.crashes.ends(), crashed);
+    assert_eq!(fleet.crashes.count(), crashed);
 }
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -77,7 +77,7 @@
     let answer = Request::stream("/gen/x", 20).body("b").send(gateway.callers()).await;
     assert_eq!((answer.status, answer.body), (200, events(1, 2)));
     assert!(!answer.whole);
-    assert_eq!(answer.surplus, 0);
+    assert_eq!(answer.trailing_bytes, 0);
 }
 
 /// Guards against a resumable stream being lost when its engine fails: it is resumed at another
