--- a/crates/gateway/src/request/carry.rs
+++ b/crates/gateway/src/request/carry.rs
@@ -1,8 +1,9 @@
-//! Carrying a running answer to another engine.
+//! Migration of a running generation to another engine.
 //!
-//! Three ways, in the order in which they are tried: going on from a copy that was made as the
-//! answer grew, which takes a few steps of an engine; moving its memory, which takes as long as the
-//! memory is large; and, where the operators allow it, beginning anew after the last event.
+//! Three strategies, in the order in which they are tried: resuming from a backup that was copied
+//! while the answer grew, which takes a few engine steps; transferring the run's memory, which
+//! takes time in proportion to its size; and, if the operators allow it, a new run after the last
+//! event.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -23,33 +24,36 @@
 use crate::request::attempt::{self, Begun, Ended, Extra};
 use crate::request::{Inquiry, Worker, admit, held, relocate};
 
-/// Answers expected to hold fewer tokens end within the notice that engines give, so a copy of
-/// them is never used: at 57 ms a token this is under two seconds, at the engines' own pace far
-/// less.
+/// Minimum number of expected tokens for which an answer is backed up. Shorter answers end within
+/// the notice that engines give before they stop, so their backup would never be used: at 57 ms a
+/// token they take less than four seconds, at the engines' usual speed far less.
 pub(crate) const WORTH_A_COPY: u64 = 64;
 
-/// Part of an engine's memory that copies leave to answers.
+/// Fraction of an engine's memory that backups leave free for answers.
 ///
-/// Copies protect against engines that vanish without a notice, and cost memory and the links that
-/// answers need to leave engines that do give one. On days with notices only, copies that leave 0.3
-/// free gave a mean worth of 0.706 and 0.484 (six days each of two deployments), 0.65 gave 0.713 and
-/// 0.513, none 0.721 and 0.515. On a day of four crashes without notice 0.65 gave 0.881, none 0.837.
+/// Backups protect against engines that stop without notice. They cost memory, and bandwidth that
+/// answers need to leave engines that do give notice. If every stop has a notice, the benchmark
+/// score is 0.706 and 0.484 on two deployments with a reserve of 0.3, 0.713 and 0.513 with 0.65,
+/// and 0.721 and 0.515 without backups. With four crashes without notice it is 0.881 with a reserve
+/// of 0.65 and 0.837 without backups.
 const BACKUP_RESERVE: f64 = 0.65;
 
-/// How long an answer waits that must go on elsewhere, where no engine takes more.
+/// Delay before the next attempt to migrate when every engine is at its limit.
 const LIMITED_PAUSE: Duration = Duration::from_millis(150);
 
-/// Whether an answer is expected to outlast the notice that an engine or an entry gives.
+/// Whether an answer is expected to take longer than the notice that an engine or an entry gives
+/// before it stops.
 pub(crate) fn is_long(inquiry: &Inquiry) -> bool {
     expected(inquiry).get() >= WORTH_A_COPY
 }
 
-/// Tokens that an answer is expected to hold: its caller's guess, or the most that it asked for.
+/// Returns the expected length of an answer: the caller's estimate, or else the maximum that it
+/// requested.
 pub(crate) fn expected(inquiry: &Inquiry) -> Tokens {
     inquiry.facts.guess.unwrap_or(inquiry.facts.limit)
 }
 
-/// The engine that keeps a copy of an answer's memory as it grows.
+/// A copy of an answer's memory that another engine keeps up to date while the answer grows.
 #[derive(Debug)]
 pub(crate) struct Backup {
     kept: Kept,
@@ -57,7 +61,8 @@
 }
 
 impl Backup {
-    /// Chooses an engine for a copy; `None` where the answer is short, or no engine has room.
+    /// Chooses an engine for a backup. Returns `None` if the service keeps no backups, the answer
+    /// is short, or no engine has enough memory.
     pub(crate) fn choose(
         worker: &Worker,
         inquiry: &Inquiry,
@@ -84,32 +89,32 @@
         self.listed.address
     }
 
-    /// The engine as it was listed when the copy was asked for.
+    /// Returns the engine as it was listed when the backup was requested.
     pub(crate) fn listed(&self) -> &Target {
         &self.listed
     }
 
-    /// Counts what the copy holds now.
+    /// Sets the number of tokens that the backup holds now.
     pub(crate) fn grow(&mut self, tokens: u64) {
         self.kept.grow(tokens);
     }
 }
 
-/// How an answer is to go on elsewhere.
+/// How an answer resumes at another engine.
 #[derive(Clone, Debug)]
 pub(crate) enum Way {
-    /// From the copy that the next engine keeps.
+    /// From the backup that the next engine keeps.
     Switch,
-    /// By moving its memory from this engine.
+    /// From its memory, which is transferred from the current engine.
     Move {
-        /// Where it runs now.
+        /// The engine that runs it now.
         from: Target,
-        /// Tokens that it is expected to produce still.
+        /// Number of tokens that it is expected to produce from now on.
         left: Tokens,
-        /// Tokens in its memory.
+        /// Number of tokens in its memory.
         held: Tokens,
     },
-    /// By a new run after the last event.
+    /// By a new run that continues after the last event.
     Again,
 }
 
@@ -123,25 +128,25 @@
     }
 }
 
-/// One try to carry an answer on.
+/// One attempt to migrate an answer.
 pub(crate) struct Trip {
     pub(crate) way: Way,
-    /// Engines that may take it, the best first.
+    /// Engines that may run it, the best first.
     pub(crate) to: Vec<Target>,
-    /// The last event that the caller was sent; it grows while a move is under way.
+    /// The id of the last event sent to the caller, which grows while a transfer is in progress.
     pub(crate) last: Rc<Cell<Option<u64>>>,
 }
 
-/// An answer that goes on elsewhere.
+/// An answer that has resumed at another engine.
 pub(crate) struct Arrived {
     pub(crate) to: id::Target,
     pub(crate) begun: Begun,
-    /// What it came with, until it counts there as an answer.
+    /// The memory counted for its copy, until the answer itself is counted at the new engine.
     pub(crate) kept: Option<Kept>,
 }
 
-/// Carries an answer to the next engine; the old run goes on until this returns, but for the last
-/// part of a move.
+/// Migrates an answer to the next engine. The old run continues until this returns, except during
+/// the final step of a transfer.
 pub(crate) async fn go<P: Platform>(
     worker: Worker,
     inquiry: Rc<Inquiry>,
@@ -168,7 +173,7 @@
     let request = &inquiry.facts.request;
     let to = admit::within_limits(worker, trip.to).await;
     let Some(first) = to.first().cloned() else {
-        // Tried again at once, all tries would be over before any of them takes more.
+        // Without a pause all attempts would be used up before any engine accepts more.
         sleep(LIMITED_PAUSE).await;
         return Err(Ended::Unrun("limited"));
     };
@@ -191,11 +196,11 @@
                 moved_ms = millis(worker.process.clock.now().since(turned)); "moved"
             );
             let moved = moved?;
-            // What is left of the move is between the two engines' links no more.
+            // The rest of the migration does not use the link between the two engines.
             drop(turn);
             let (last, copy) = (&trip.last, Some(moved.copy.clone()));
             let resumed = match resume::<P>(worker, inquiry, &moved.to, copy.clone(), last).await {
-                // The source that stopped still has everything.
+                // The source has stopped the run and still holds all of its memory.
                 Err(ended) if ended.is_unrun() => {
                     worker.fleet.spend(&from.id);
                     resume::<P>(worker, inquiry, &from, copy, last).await
@@ -209,7 +214,7 @@
     }
 }
 
-/// Sends the request again so that it goes on after the last event delivered.
+/// Sends the request to another engine, which resumes it after the last event sent to the caller.
 async fn resume<P: Platform>(
     worker: &Worker,
     inquiry: &Inquiry,
--- a/crates/gateway/src/request/pump.rs
+++ b/crates/gateway/src/request/pump.rs
@@ -1,5 +1,5 @@
-//! The pump of one generation: takes events from engines and hands them to the caller, once each
-//! and in order, whichever engine they come from.
+//! Relaying of a generation: events from engines are forwarded to the caller once each and in
+//! order, also when the generation migrates between engines.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -27,23 +27,24 @@
 use crate::request::sse::Splitter;
 use crate::request::{Inquiry, Worker, broken};
 
-/// Pieces that wait for a slow caller before its engine is held back as well.
+/// Maximum number of chunks that are queued for a slow caller before no more are read from the
+/// engine.
 const BACKLOG: usize = 32;
 
-/// An engine that makes nothing for so long is given up where a copy of the answer is kept.
+/// Time without an event after which an answer with a backup migrates to it.
 ///
-/// The failure: an engine goes dark, its connections stay open, and the caller waits until its
-/// entry lapses seconds later. Ten times the longest ordinary time between two events; a run that
-/// is only slow goes on from its copy without loss.
+/// An engine that loses power or its network leaves its connections open, and the caller would wait
+/// until the engine's lease expires seconds later. This is ten times the longest usual time between
+/// two events; a run that is only slow resumes from its backup without loss.
 const SILENCE: Duration = Duration::from_millis(700);
 
-/// Tries to carry one answer on after which it is given up.
+/// Maximum number of attempts to migrate one answer.
 const TRIPS: u32 = 12;
 
-/// What the body of a response is told.
+/// A part of the response body.
 enum Piece {
     Bytes(Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
 }
 
@@ -66,51 +67,57 @@
                 self.ended = true;
                 Poll::Ready(None)
             }
-            // The failure: a body that ends here looks whole to the caller, and one that fails
-            // makes the library write a second response into the middle of it. The pump has closed
-            // the connection, so nothing more is ever said.
+            // The relay has closed the connection, so the body stays pending forever: if it ended
+            // here, it would look complete to the caller, and if it failed, the library would write
+            // a second response into the middle of it.
             Poll::Ready(None) | Poll::Pending => Poll::Pending,
         }
     }
 }
 
-/// How a pump ended.
+/// How relaying ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
+    /// The answer is complete.
     Whole,
-    /// The caller went away.
+    /// The caller closed its connection.
     Left,
-    /// Broken off: its time is up.
+    /// The deadline passed.
     Late,
-    /// Broken off: no engine goes on with it.
+    /// The run was lost and no engine resumes it.
     Cut,
 }
 
+/// Relays one generation from its engines to its caller.
 pub(crate) struct Pump {
     worker: Worker,
     inquiry: Rc<Inquiry>,
     pass: Pass,
     backup: Option<Backup>,
-    /// `None` while the old run has stopped and the next has not begun.
+    /// The response of the current engine; `None` from the end of a run to the start of the next.
     upstream: Option<Response>,
-    /// The engine as it was listed when the run began there.
+    /// The current engine as it was listed when its run began.
     at: Option<Target>,
-    /// When the run was sent there.
+    /// When the request was sent to the current engine.
     sent: Time,
     splitter: Splitter,
+    /// The id of the last event sent to the caller.
     last: Rc<Cell<Option<u64>>>,
+    /// Number of events sent to the caller.
     events: u64,
+    /// Number of attempts to migrate.
     trips: u32,
-    /// Runs that began at an engine and not from the memory of another.
+    /// Number of runs that began without the memory of an earlier run.
     runs: u32,
-    /// The place where the way of a copy failed, so that it is not tried twice.
+    /// Whether a migration to the backup was tried since the last migration, so that a failed one
+    /// is not repeated.
     switched: bool,
     pieces: mpsc::Sender<Piece>,
     _open: Option<Open>,
 }
 
 impl Pump {
-    /// Starts to pump an answer whose head is there; returns the body for the caller.
+    /// Starts to relay an answer whose head has been received; returns the body for the caller.
     pub(crate) fn spawn<P: Platform>(
         worker: Worker,
         inquiry: Rc<Inquiry>,
@@ -155,7 +162,7 @@
         );
         match end {
             End::Whole => {
-                // A caller that left meanwhile needs no end.
+                // Fails only if the caller has closed its connection.
                 let _ = self.pieces.send(Piece::End).await;
                 self.worker.process.note_whole(self.inquiry.print);
                 self.pass.finish(Outcome::Whole);
@@ -220,7 +227,7 @@
         }
     }
 
-    /// The run ended without its end.
+    /// Handles the loss of the run before its answer was complete.
     fn broke_off(&mut self) {
         self.upstream = None;
         if let Some(at) = &self.at {
@@ -228,7 +235,8 @@
         }
     }
 
-    /// Whether the answer must go on elsewhere: its engine leaves, or its run ended unfinished.
+    /// Whether the answer must migrate: its run was lost, or its engine accepts no new requests and
+    /// the answer is too long to finish there.
     fn wants_to_go(&self) -> bool {
         match &self.upstream {
             None => true,
@@ -237,14 +245,14 @@
         }
     }
 
-    /// Whether the answer is better left where it is: it is expected to end within the notice, and
-    /// where it does not, another run can go on after its last event.
+    /// Whether the answer should finish where it is: it is expected to end within the notice that
+    /// its engine gives, and if it does not, another run can continue after its last event.
     fn may_stay(&self) -> bool {
         let long = carry::is_long(&self.inquiry) || self.produced() >= carry::WORTH_A_COPY;
         self.inquiry.route.kind.is_idempotent() && !long
     }
 
-    /// The next way to try; `None` where there is none.
+    /// Returns the next migration to try, or `None` if there is none.
     fn trip(&mut self) -> Option<Trip> {
         if self.trips >= TRIPS {
             return None;
@@ -283,15 +291,16 @@
         refuges.iter().filter_map(|refuge| process.target(refuge)).collect()
     }
 
-    /// Tokens that the answer is expected to hold still: by the caller's guess, or where it has
-    /// passed that, a third of what it has, since long answers tend to go on.
+    /// Returns the number of tokens that the answer is expected to produce from now on: what the
+    /// caller's estimate leaves, but at least a third of those produced so far, since long answers
+    /// tend to continue.
     fn left(&self) -> Tokens {
         let produced = self.produced();
         let guess = carry::expected(&self.inquiry).get();
         Tokens::new(guess.saturating_sub(produced).max(produced / 3))
     }
 
-    /// Tokens in the answer's memory.
+    /// Returns the number of tokens in the answer's memory.
     fn held(&self) -> Tokens {
         Tokens::new(self.inquiry.facts.prompt.get() + self.produced())
     }
@@ -302,11 +311,11 @@
     }
 
     fn take(&mut self, arrived: Result<Arrived, Ended>) {
-        // Where the trip failed, the old run goes on for as long as it can.
+        // If the migration failed, the old run continues for as long as it can.
         let Ok(arrived) = arrived else { return };
         self.pass.transfer(&arrived.to);
         drop(arrived.kept);
-        // A copy of its own would share the links over which others still leave.
+        // No new backup is made: it would compete for links over which other answers still migrate.
         self.backup = None;
         self.upstream = Some(arrived.begun.response);
         self.sent = arrived.begun.sent;
@@ -315,12 +324,13 @@
         self.switched = false;
     }
 
-    /// Gives up what is lost with its engine: a copy where that leaves or gets nothing new, and a run or a copy where it
-    /// has started again.
+    /// Drops the backup if its engine drains, is cordoned or has restarted, and the run if its
+    /// engine has restarted.
     ///
-    /// **Failure:** an engine is cut off, crashes, and starts again under its name before its lease
-    /// ends. The connection to the old start stays silent for good, and nothing else tells that the
-    /// run is gone: its caller waits until its time is up. **Guard:** the newer start does.
+    /// An engine may lose its network, crash and restart under the same name before its lease
+    /// expires. The connection to the old instance then stays open without data, and only the
+    /// restart shows that the run is lost. Without this check the caller would wait until its
+    /// deadline.
     fn look_at_engines(&mut self) {
         let process = &self.worker.process;
         let leaves = |backup: &Backup| {
@@ -335,7 +345,7 @@
         if self.at.as_ref().is_some_and(restarted) {
             log::info!(
                 request = self.inquiry.facts.request.as_str(), target:% = self.pass.target();
-                "run lost, its engine has started again"
+                "run lost, its engine has restarted"
             );
             self.upstream = None;
             if let Some(at) = self.at.take() {
@@ -344,12 +354,13 @@
         }
     }
 
-    /// Whether the run that just closed in order had come to its end.
+    /// Whether the answer is complete: the response ended in order and not within an event.
     fn is_whole(&self) -> bool {
         self.splitter.is_empty() && self.upstream.is_some()
     }
 
-    /// Hands on the events that the caller has not had yet; false once it is gone.
+    /// Forwards the events that the caller has not received yet. Returns false once the caller has
+    /// closed its connection.
     async fn forward(&mut self, bytes: &Bytes) -> bool {
         let Ok(events) = self.splitter.feed(bytes) else {
             self.upstream = None;
@@ -357,7 +368,7 @@
         };
         for event in events {
             if let Some(id) = event.id {
-                // The old run made these while the next one began.
+                // The previous run produced this event while the next one started.
                 if self.last.get().is_some_and(|last| id <= last) {
                     continue;
                 }
@@ -381,7 +392,7 @@
     }
 }
 
-/// The next bytes of a run; `None` at its end, in order or not.
+/// Returns the next bytes of a response, or `None` at its end; clears `upstream` if it failed.
 async fn next(upstream: &mut Option<Response>) -> Option<Bytes> {
     match upstream {
         Some(response) => match response.chunk().await {
--- a/crates/gateway/src/request/relocate.rs
+++ b/crates/gateway/src/request/relocate.rs
@@ -1,4 +1,4 @@
-//! Moving the memory of one run from an engine that leaves to another.
+//! Transfer of a run's memory from a draining engine to another.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,48 +17,51 @@
 use crate::request::attempt::Ended;
 use crate::request::{Inquiry, Worker};
 
-/// How long one move may take: a second for a full memory on an idle link, and what queues before.
+/// How long one transfer may take: a second for a full memory on an idle link, plus the time in the
+/// engine's queue.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time between tries where another call for the same run is under way.
+/// Delay before the next try while another call for the same run is in progress.
 const BUSY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Tries of a move before it is given up.
+/// Maximum number of tries of one transfer.
 const MOVE_TRIES: u32 = 8;
 
-/// Engines that are asked to take one answer before it waits for its turn again. A refusal comes
-/// within a round trip of some two milliseconds, a turn takes two hundred.
+/// Maximum number of engines that are asked to take one answer before it queues for its turn again.
+/// A refusal takes a round trip of about 2 ms, a turn 200 ms.
 const MOVE_PLACES: usize = 8;
 
-/// The largest reply to a move.
+/// Maximum size of a reply to a transfer call, in bytes.
 const MAX_REPLY: usize = 64 << 10;
 
-/// How long an engine has to free a copy.
+/// How long a call that frees a copy may take.
 const DROP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A run's memory at the engine where it is to go on.
+/// A run's memory at the engine that is to resume it.
 pub(crate) struct Relocated {
     /// The engine that holds the copy.
     pub(crate) to: Target,
     /// The copy.
     pub(crate) copy: Copy,
+    /// The memory counted for the copy.
     kept: Kept,
+    /// Frees the copy unless the run resumes from it.
     unused: Unused,
 }
 
 impl Relocated {
-    /// Notes that the run goes on from the copy; returns the count of its memory.
+    /// Keeps the copy, from which the run has resumed; returns the memory counted for it.
     pub(crate) fn used(mut self) -> Kept {
         self.unused.call = None;
         self.kept
     }
 }
 
-/// A copy that nobody goes on from yet; dropped, its engines are told to free it.
+/// Frees a copy when it is dropped, unless `call` is cleared before.
 ///
-/// **Failure:** an answer ends, or its caller leaves, while its memory is being moved. The copy then
-/// keeps its room and a place at the other engine for seconds, which refuses answers that have to
-/// leave their own.
+/// An answer may end, or its caller disconnect, while its memory is being transferred. The copy
+/// would occupy memory and a slot at the other engine for seconds, and that engine would refuse
+/// answers that must leave their own.
 struct Unused {
     call: Option<Call>,
     from: SocketAddr,
@@ -72,7 +75,8 @@
     }
 }
 
-/// Frees a copy at both ends through the engine that made it, or where that is gone at the other.
+/// Frees a copy at both engines by a call to the engine that made it or, if that fails, at the
+/// engine that received it.
 async fn free(call: Call, from: SocketAddr, to: SocketAddr) {
     let freed = exchange::call(from, outgoing(call.clone()), DROP_TIMEOUT, MAX_REPLY).await;
     let freed = match freed {
@@ -85,11 +89,11 @@
     }
 }
 
-/// Copies a run while it goes on, then stops it and copies the rest.
+/// Copies a run's memory while the run continues, then stops the run and copies the rest.
 ///
-/// **Failure:** the engine is gone between the two. What was copied first is there all the same, so
-/// the run goes on from it, and the next engine reads what it lacks: without this a page was cut
-/// whose memory had arrived.
+/// If the engine is lost between the two steps, the run resumes from the first copy and the next
+/// engine recomputes what is missing. Otherwise an answer would be cut although most of its memory
+/// had been transferred.
 pub(crate) async fn move_run<P: Platform>(
     worker: &Worker,
     inquiry: &Inquiry,
@@ -109,7 +113,7 @@
     Err(ended)
 }
 
-/// Stops a run of which a part is copied, and copies the rest.
+/// Stops a run whose memory has been copied in part, and copies the rest.
 async fn move_rest<P: Platform>(
     worker: &Worker,
     inquiry: &Inquiry,
@@ -127,7 +131,7 @@
     match move_once::<P>(worker, inquiry, from, to.address, true).await {
         Ok(name) => Ok(relocated(name, unused)),
         Err(Ended::Unknown("move broken")) => {
-            log::info!(request = inquiry.facts.request.as_str(); "goes on from a part");
+            log::info!(request = inquiry.facts.request.as_str(); "resuming from a partial copy");
             Ok(relocated(first, unused))
         }
         Err(other) => Err(other),
--- a/crates/gateway/src/request/sse.rs
+++ b/crates/gateway/src/request/sse.rs
@@ -1,35 +1,35 @@
-//! Cutting a stream into its events without changing a byte of them.
+//! Splitting of a stream of server-sent events into single events, whose bytes stay unchanged.
 
 use memchr::memmem;
 use ntex::util::{Bytes, BytesMut};
 
-/// One event as it came.
+/// One event as it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Event {
-    /// Its id, where it has one that is a number.
+    /// Its id, if it has one that is a number.
     pub(crate) id: Option<u64>,
-    /// All its bytes, the blank line that ends it included.
+    /// All its bytes, including the blank line that ends it.
     pub(crate) bytes: Bytes,
 }
 
-/// The most bytes of an unfinished event; a target that sends more is faulty.
+/// Maximum size of an incomplete event in bytes; a target that sends more is faulty.
 const MAX_EVENT: usize = 1 << 20;
 
-/// An event larger than is held.
+/// The error for an incomplete event that is larger than the maximum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Oversized;
 
-/// Collects bytes until they are whole events.
+/// Buffers bytes until they are complete events.
 ///
-/// The failure: a target stops in the middle of an event, and what follows from another target is
-/// joined to the half of it. Only whole events leave here.
+/// A target may stop in the middle of an event. If its bytes were forwarded at once, the first
+/// event of the next target would be joined to that incomplete one.
 #[derive(Debug, Default)]
 pub(crate) struct Splitter {
     held: BytesMut,
 }
 
 impl Splitter {
-    /// Takes in bytes and returns the events that they complete.
+    /// Adds bytes and returns the events that they complete.
     pub(crate) fn feed(&mut self, bytes: &Bytes) -> Result<Vec<Event>, Oversized> {
         self.held.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -43,13 +43,13 @@
         Ok(events)
     }
 
-    /// Whether nothing of an unfinished event is held.
+    /// Whether no incomplete event is buffered.
     pub(crate) fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 }
 
-/// Where the first event ends, its blank line included.
+/// Returns the length of the first complete event, including its blank line.
 fn end(bytes: &[u8]) -> Option<usize> {
     let plain = memmem::find(bytes, b"\n\n").map(|at| at + 2);
     let carriage = memmem::find(bytes, b"\r\n\r\n").map(|at| at + 4);
