--- a/crates/gateway/src/request/admit.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -10,7 +10,7 @@
 
 use crate::connection::frame::Question;
 use crate::process::lane::Pass;
-use crate::request::{Inquiry, Worker, held};
+use crate::request::{Inquiry, Worker, quarantine};
 
 /// How long the entry that owns a target's token bucket may take to answer: about twenty round
 /// trips.
@@ -44,7 +44,7 @@
             repeat = false;
             continue;
         }
-        return match held::wait(worker, inquiry).await {
+        return match quarantine::wait(worker, inquiry).await {
             Some(wait) => Err(Stop::Held(wait)),
             None => Ok(pass),
         };
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -11,7 +11,7 @@
 use crate::connection::exchange::{self, Failure, Outgoing, Response};
 use crate::platform::{Copy, Platform, Stamp};
 use crate::process::state::millis;
-use crate::request::{Inquiry, URGENCY, Worker, broken};
+use crate::request::{Inquiry, URGENCY, Worker, liveness};
 
 /// The reason if the target is cordoned.
 const CORDONED: &str = "cordoned";
@@ -139,7 +139,7 @@
     let response = exchange::send(target.address, outgoing, left).await;
     let response = response.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
-            broken::Run::of(worker, inquiry, &target, sent).spawn();
+            liveness::Run::of(worker, inquiry, &target, sent).spawn();
         }
         Ended::of(&failure)
     })?;
--- a/crates/gateway/src/request/carry.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -22,7 +22,7 @@
 use crate::process::state::millis;
 use crate::process::turn::Turn;
 use crate::request::attempt::{self, Begun, Ended, Extra};
-use crate::request::{Inquiry, Worker, admit, held, relocate};
+use crate::request::{Inquiry, Worker, admission, quarantine, transfer};
 
 /// Minimum number of expected tokens for which an answer is backed up. Shorter answers end within
 /// the notice that engines give before they stop, so their backup would never be used: at 57 ms a
@@ -171,13 +171,13 @@
     trip: Trip,
 ) -> Result<Arrived, Ended> {
     let request = &inquiry.facts.request;
-    let to = admit::within_limits(worker, trip.to).await;
+    let to = admission::within_limits(worker, trip.to).await;
     let Some(first) = to.first().cloned() else {
         // Without a pause all attempts would be used up before any engine accepts more.
         sleep(LIMITED_PAUSE).await;
         return Err(Ended::Unrun("limited"));
     };
-    if !matches!(trip.way, Way::Move { .. }) && held::wait(worker, inquiry).await.is_some() {
+    if !matches!(trip.way, Way::Move { .. }) && quarantine::wait(worker, inquiry).await.is_some() {
         return Err(Ended::Unrun("held back"));
     }
     match trip.way {
@@ -189,7 +189,7 @@
             let began = worker.process.clock.now();
             let turn = Turn::wait(&worker.fleet, &from.id, request, left).await;
             let turned = worker.process.clock.now();
-            let moved = relocate::move_run::<P>(worker, inquiry, &from, &to, held).await;
+            let moved = transfer::move_run::<P>(worker, inquiry, &from, &to, held).await;
             log::info!(
                 request = request.as_str(), from:% = from.id, left:% = left,
                 waited_ms = millis(turned.since(began)),
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -1,18 +1,18 @@
 //! Request handling: routing, admission, attempts, relaying of answers, and migration.
 
-pub(crate) mod admit;
+pub(crate) mod admission;
 pub(crate) mod attempt;
-pub(crate) mod broken;
-pub(crate) mod carry;
 pub(crate) mod entries;
-pub(crate) mod held;
+pub(crate) mod liveness;
+pub(crate) mod migration;
 pub(crate) mod plain;
 pub(crate) mod probe;
-pub(crate) mod pump;
+pub(crate) mod quarantine;
 pub(crate) mod refuse;
-pub(crate) mod relocate;
+pub(crate) mod relay;
 pub(crate) mod sse;
 pub(crate) mod stream;
+pub(crate) mod transfer;
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -108,7 +108,7 @@
     /// Returns the request to the gate for one attempt.
     pub(crate) fn ask(&self, avoid: Option<id::Target>, repeat: bool) -> gate::Request {
         let workspace = self.workspace.clone().unwrap_or_else(nobody);
-        let class = if carry::is_long(self) { Class::Overnight } else { Class::Live };
+        let class = if migration::is_long(self) { Class::Overnight } else { Class::Live };
         let (class, limit) = match self.route.kind.is_stream() && self.service.engine.is_some() {
             true => (class, self.facts.limit),
             false => (Class::Lookup, Default::default()),
@@ -151,7 +151,7 @@
             let kind = inquiry.kind();
             let id = inquiry.facts.request.clone();
             let route = inquiry.route.name.clone();
-            let response = match (held::refused(worker, &inquiry), inquiry.route.kind) {
+            let response = match (quarantine::refused(worker, &inquiry), inquiry.route.kind) {
                 (Some(refused), _) => refused,
                 (None, Kind::Stream { .. }) => stream::serve::<P>(worker, inquiry, open).await,
                 (None, Kind::Safe | Kind::Unsafe) => plain::serve::<P>(worker, &inquiry).await,
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -15,9 +15,9 @@
 use crate::connection::exchange::Failure;
 use crate::platform::Platform;
 use crate::process::lane::Pass;
-use crate::request::admit::{self, Stop};
+use crate::request::admission::{self, Stop};
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
-use crate::request::{Inquiry, Worker, broken, end_to_end, held, refuse};
+use crate::request::{Inquiry, Worker, end_to_end, liveness, quarantine, refuse};
 
 /// Maximum size of an answer in bytes. Answers are buffered until they are complete, so that a
 /// truncated one is detected and may be fetched again.
@@ -102,7 +102,7 @@
             if std::mem::take(&mut again) && self.may_send() {
                 // An attempt in flight counts as one that has reached its target.
                 let repeat = self.arrived || !pending.is_empty();
-                match admit::admit(self.worker, self.inquiry, avoid.as_ref(), repeat).await {
+                match admission::admit(self.worker, self.inquiry, avoid.as_ref(), repeat).await {
                     Ok(pass) => {
                         avoid = Some(pass.target().clone());
                         self.sent += 1;
@@ -182,7 +182,7 @@
             return refuse::lost(request);
         }
         if let Some(wait) = self.held {
-            return held::refuse(self.worker, self.inquiry, wait);
+            return quarantine::refuse(self.worker, self.inquiry, wait);
         }
         let left = self.inquiry.left(self.worker.process.clock.now());
         let after = come_back(left);
@@ -221,7 +221,7 @@
     let Begun { mut response, sent } = begun;
     let body = response.whole(MAX_ANSWER).await.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
-            broken::Run::of(worker, inquiry, &listed, sent).spawn();
+            liveness::Run::of(worker, inquiry, &listed, sent).spawn();
         }
         Ended::Unknown("cut")
     })?;
--- a/crates/gateway/src/request/pump.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -23,9 +23,9 @@
 use crate::process::lane::Pass;
 use crate::process::state::Open;
 use crate::request::attempt::{Begun, Ended};
-use crate::request::carry::{self, Arrived, Backup, Trip, Way};
+use crate::request::migration::{self, Arrived, Backup, Trip, Way};
 use crate::request::sse::Splitter;
-use crate::request::{Inquiry, Worker, broken};
+use crate::request::{Inquiry, Worker, liveness};
 
 /// Maximum number of chunks that are queued for a slow caller before no more are read from the
 /// engine.
@@ -197,7 +197,7 @@
                 match self.trip() {
                     Some(trip) => {
                         let (worker, inquiry) = (self.worker.clone(), Rc::clone(&self.inquiry));
-                        carrying.set(carry::go::<P>(worker, inquiry, trip).fuse());
+                        carrying.set(migration::go::<P>(worker, inquiry, trip).fuse());
                         under_way = true;
                     }
                     None if self.upstream.is_none() => return End::Cut,
@@ -231,7 +231,7 @@
     fn broke_off(&mut self) {
         self.upstream = None;
         if let Some(at) = &self.at {
-            broken::Run::of(&self.worker, &self.inquiry, at, self.sent).spawn();
+            liveness::Run::of(&self.worker, &self.inquiry, at, self.sent).spawn();
         }
     }
 
@@ -248,7 +248,7 @@
     /// Whether the answer should finish where it is: it is expected to end within the notice that
     /// its engine gives, and if it does not, another run can continue after its last event.
     fn may_stay(&self) -> bool {
-        let long = carry::is_long(&self.inquiry) || self.produced() >= carry::WORTH_A_COPY;
+        let long = migration::is_long(&self.inquiry) || self.produced() >= migration::WORTH_A_COPY;
         self.inquiry.route.kind.is_idempotent() && !long
     }
 
@@ -296,7 +296,7 @@
     /// tend to continue.
     fn left(&self) -> Tokens {
         let produced = self.produced();
-        let guess = carry::expected(&self.inquiry).get();
+        let guess = migration::expected(&self.inquiry).get();
         Tokens::new(guess.saturating_sub(produced).max(produced / 3))
     }
 
@@ -349,7 +349,7 @@
             );
             self.upstream = None;
             if let Some(at) = self.at.take() {
-                broken::Run::of(&self.worker, &self.inquiry, &at, self.sent).ended();
+                liveness::Run::of(&self.worker, &self.inquiry, &at, self.sent).ended();
             }
         }
     }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -12,11 +12,11 @@
 use crate::platform::Platform;
 use crate::process::lane::Pass;
 use crate::process::state::{Open, millis};
-use crate::request::admit::{self, Stop};
+use crate::request::admission::{self, Stop};
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
-use crate::request::carry::{self, Backup};
-use crate::request::pump::Pump;
-use crate::request::{Inquiry, Worker, broken, end_to_end, entries, held, refuse};
+use crate::request::migration::{self, Backup};
+use crate::request::relay::Pump;
+use crate::request::{Inquiry, Worker, end_to_end, entries, liveness, quarantine, refuse};
 
 /// Divisor of the time that a refused caller has left: it is told to retry after at most this part
 /// of it, since it needs the rest for the answer.
@@ -28,7 +28,7 @@
 /// Serves one generation; its answer is relayed after this returns.
 pub(crate) async fn serve<P: Platform>(worker: &Worker, inquiry: Inquiry, open: Open) -> Response {
     let inquiry = Rc::new(inquiry);
-    if carry::is_long(&inquiry)
+    if migration::is_long(&inquiry)
         && let Some(after) = sent_away(worker, &inquiry)
     {
         return refuse::leaving(&inquiry.facts.request, after);
@@ -61,7 +61,7 @@
         remaining: left,
         address_ttl: entries::TTL,
     };
-    match shutdown::decide(&situation, carry::expected(inquiry)) {
+    match shutdown::decide(&situation, migration::expected(inquiry)) {
         Decision::Serve => None,
         Decision::RetryAfter(after) => Some(after),
     }
@@ -87,12 +87,12 @@
         let mut avoid: Option<id::Target> = None;
         loop {
             let inquiry = &self.inquiry;
-            let pass = match admit::admit(self.worker, inquiry, avoid.as_ref(), self.arrived).await
-            {
-                Ok(pass) => pass,
-                Err(Stop::Held(wait)) => return self.held_back(wait),
-                Err(Stop::Refused(refusal)) => return self.refused(refusal),
-            };
+            let pass =
+                match admission::admit(self.worker, inquiry, avoid.as_ref(), self.arrived).await {
+                    Ok(pass) => pass,
+                    Err(Stop::Held(wait)) => return self.held_back(wait),
+                    Err(Stop::Refused(refusal)) => return self.refused(refusal),
+                };
             avoid = Some(pass.target().clone());
             self.note_placed(&pass);
             match self.attempt::<P>(pass).await {
@@ -150,7 +150,7 @@
     fn held_back(&self, wait: Duration) -> Response {
         match self.may_have_run() {
             true => refuse::lost(&self.inquiry.facts.request),
-            false => held::refuse(self.worker, &self.inquiry, wait),
+            false => quarantine::refuse(self.worker, &self.inquiry, wait),
         }
     }
 
@@ -202,7 +202,7 @@
         pass.finish(if failed { Outcome::ServerError } else { Outcome::Whole });
         let body = response.whole(MAX_ANSWER).await.map_err(|_| {
             if let Some(target) = &listed {
-                broken::Run::of(self.worker, &self.inquiry, target, *sent).spawn();
+                liveness::Run::of(self.worker, &self.inquiry, target, *sent).spawn();
             }
             Ended::Unknown("cut")
         })?;
