--- a/crates/gateway/src/process/serve.rs
+++ b/crates/gateway/src/process/serve.rs
@@ -89,7 +89,7 @@
     let builder = ntex::server::build().workers(WORKERS).disable_signals();
     let (own, known) = (Arc::clone(process), Arc::clone(fleet));
     let builder = builder.listen("callers", listeners.callers, async move |_| {
-        let worker = Worker::open(Arc::clone(&own), Arc::clone(&known));
+        let worker = Worker::new(Arc::clone(&own), Arc::clone(&known));
         HttpService::h1(async move |request: Request| {
             Ok::<_, io::Error>(request::serve::<P>(&worker, request).await)
         })
--- a/crates/gateway/src/request/admission.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -10,7 +10,7 @@
 
 use crate::connection::frame::Question;
 use crate::process::lane::Pass;
-use crate::request::{Inquiry, Worker, quarantine};
+use crate::request::{Context, Worker, quarantine};
 
 /// How long the entry that owns a target's token bucket may take to answer: about twenty round
 /// trips.
@@ -31,20 +31,20 @@
 /// reached a target.
 pub(crate) async fn admit(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     avoid: Option<&id::Target>,
     mut repeat: bool,
 ) -> Result<Pass, Stop> {
     loop {
-        let ask = inquiry.ask(avoid.cloned(), repeat);
-        let pass = inquiry.lane.admit(ask).await.map_err(|refusal| stop(inquiry, refusal))?;
+        let ask = context.gate_request(avoid.cloned(), repeat);
+        let pass = context.lane.admit(ask).await.map_err(|refusal| stop(context, refusal))?;
         if let Some((why, wait)) = over_limit(worker, pass.target()).await {
-            inquiry.lane.close_target(pass.target(), wait, why);
+            context.lane.close_target(pass.target(), wait, why);
             // The retry budget has been charged for this attempt already.
             repeat = false;
             continue;
         }
-        return match quarantine::wait(worker, inquiry).await {
+        return match quarantine::wait(worker, context).await {
             Some(wait) => Err(Stop::Held(wait)),
             None => Ok(pass),
         };
@@ -52,10 +52,10 @@
 }
 
 /// Logs why targets were excluded.
-fn stop(inquiry: &Inquiry, refusal: Refusal) -> Stop {
-    let excluded = inquiry.lane.exclusions();
+fn stop(context: &Context, refusal: Refusal) -> Stop {
+    let excluded = context.lane.exclusions();
     log::info!(
-        request = inquiry.facts.request.as_str(), reason:% = refusal.reason,
+        request = context.facts.request.as_str(), reason:% = refusal.reason,
         excluded = excluded.as_str(); "no target takes it"
     );
     Stop::Refused(refusal)
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -11,7 +11,7 @@
 use crate::connection::exchange::{self, Failure, Outgoing, Response};
 use crate::platform::{Copy, Platform, Stamp};
 use crate::process::state::millis;
-use crate::request::{Inquiry, URGENCY, Worker, liveness};
+use crate::request::{Context, URGENCY, Worker, liveness};
 
 /// The reason if the target is cordoned.
 const CORDONED: &str = "cordoned";
@@ -81,15 +81,15 @@
 /// address belongs to another instance by now.
 pub(crate) async fn begin<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     target: &id::Target,
     extra: &Extra,
 ) -> Result<Begun, Ended> {
     let began = worker.process.clock.now();
-    let result = exchange::<P>(worker, inquiry, target, extra).await;
+    let result = exchange::<P>(worker, context, target, extra).await;
     let elapsed = worker.process.clock.now().since(began);
     if !result.as_ref().is_err_and(Ended::is_unrun) {
-        inquiry.trial.set(false);
+        context.has_trial.set(false);
     }
     let outcome = match &result {
         Ok(begun) => begun.response.status.as_str().to_owned(),
@@ -100,8 +100,8 @@
         Err(ended) => ended.word(),
     });
     log::info!(
-        request = inquiry.facts.request.as_str(), target:% = target, outcome = outcome.as_str(),
-        revision = inquiry.table.text().revision, targets:% = worker.process.targets_position(),
+        request = context.facts.request.as_str(), target:% = target, outcome = outcome.as_str(),
+        revision = context.table.text().revision, targets:% = worker.process.targets_position(),
         resumed = extra.last_event.unwrap_or(0), copy = extra.copy.is_some(),
         ms = millis(elapsed); "attempt"
     );
@@ -110,7 +110,7 @@
 
 async fn exchange<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     id: &id::Target,
     extra: &Extra,
 ) -> Result<Begun, Ended> {
@@ -119,27 +119,27 @@
     if worker.process.is_cordoned(&target) {
         return Err(Ended::Unsent(CORDONED));
     }
-    let left = inquiry.left(worker.process.clock.now());
+    let left = context.time_left(worker.process.clock.now());
     let stamp = Stamp {
         instance: &target.instance,
         left,
-        workspace: inquiry.label.as_deref(),
+        workspace: context.label.as_deref(),
         backup: extra.backup,
         copy: extra.copy.as_ref(),
-        last_event: extra.last_event.or(inquiry.facts.last_event),
+        last_event: extra.last_event.or(context.facts.last_event),
         urgency: URGENCY,
     };
     let outgoing = Outgoing {
-        method: inquiry.method.clone(),
-        path: inquiry.path.clone(),
-        headers: stamped::<P>(&inquiry.headers, &stamp),
-        body: inquiry.body.clone(),
+        method: context.method.clone(),
+        path: context.path.clone(),
+        headers: stamped::<P>(&context.headers, &stamp),
+        body: context.body.clone(),
     };
     let sent = worker.process.clock.now();
     let response = exchange::send(target.address, outgoing, left).await;
     let response = response.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
-            liveness::Run::of(worker, inquiry, &target, sent).spawn();
+            liveness::Run::of(worker, context, &target, sent).spawn();
         }
         Ended::of(&failure)
     })?;
@@ -155,7 +155,7 @@
         return Err(Ended::Unrun("declined"));
     }
     // The connection may deliver a response to another request first.
-    if reply.request.as_ref() != Some(&inquiry.facts.request) {
+    if reply.request.as_ref() != Some(&context.facts.request) {
         return Err(Ended::Unknown("crossed"));
     }
     Ok(Begun { response, sent })
--- a/crates/gateway/src/request/liveness.rs
+++ b/crates/gateway/src/request/liveness.rs
@@ -14,7 +14,7 @@
 
 use crate::connection::exchange::CONNECT_TIMEOUT;
 use crate::process::state::{Inspection, Process, millis};
-use crate::request::{Inquiry, Worker};
+use crate::request::{Context, Worker};
 
 /// The state of a target after a run on it was interrupted.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -46,10 +46,10 @@
 impl Run {
     /// Prepares a check for a request that was sent at `sent_at` to a target, as it was listed
     /// then.
-    pub(crate) fn of(worker: &Worker, inquiry: &Inquiry, target: &Target, sent: Time) -> Self {
+    pub(crate) fn of(worker: &Worker, context: &Context, target: &Target, sent: Time) -> Self {
         let process = Arc::clone(&worker.process);
         let ready = process.is_target_ready(&target.id);
-        let (request, print) = (inquiry.facts.request.clone(), inquiry.print);
+        let (request, print) = (context.facts.request.clone(), context.fingerprint);
         Self { process, request, print, target: target.clone(), sent, ready }
     }
 
--- a/crates/gateway/src/request/migration.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -22,7 +22,7 @@
 use crate::process::state::millis;
 use crate::process::turn::Turn;
 use crate::request::attempt::{self, Begun, Ended, Extra};
-use crate::request::{Inquiry, Worker, admission, quarantine, transfer};
+use crate::request::{Context, Worker, admission, quarantine, transfer};
 
 /// Minimum number of expected tokens for which an answer is backed up. Shorter answers end within
 /// the notice that engines give before they stop, so their backup would never be used: at 57 ms a
@@ -43,14 +43,14 @@
 
 /// Whether an answer is expected to take longer than the notice that an engine or an entry gives
 /// before it stops.
-pub(crate) fn is_long(inquiry: &Inquiry) -> bool {
-    expected(inquiry).get() >= WORTH_A_COPY
+pub(crate) fn is_long(context: &Context) -> bool {
+    expected(context).get() >= WORTH_A_COPY
 }
 
 /// Returns the expected length of an answer: the caller's estimate, or else the maximum that it
 /// requested.
-pub(crate) fn expected(inquiry: &Inquiry) -> Tokens {
-    inquiry.facts.guess.unwrap_or(inquiry.facts.limit)
+pub(crate) fn expected(context: &Context) -> Tokens {
+    context.facts.guess.unwrap_or(context.facts.limit)
 }
 
 /// A copy of an answer's memory that another engine keeps up to date while the answer grows.
@@ -65,19 +65,19 @@
     /// is short, or no engine has enough memory.
     pub(crate) fn choose(
         worker: &Worker,
-        inquiry: &Inquiry,
+        context: &Context,
         pass: &Pass,
         at: &id::Target,
     ) -> Option<Self> {
-        let backups = inquiry.service.engine.as_ref().is_some_and(|engine| engine.backups);
-        if !backups || !is_long(inquiry) {
+        let backups = context.service.engine.as_ref().is_some_and(|engine| engine.backups);
+        if !backups || !is_long(context) {
             return None;
         }
         let near = worker.process.neighbours(at);
         let refuges = pass.refuges(&near, Some(BACKUP_RESERVE));
         let refuge = refuges.into_iter().find(|refuge| refuge != at)?;
         let target = worker.process.target(&refuge)?;
-        let kept = Kept::open(&worker.process, &target.id, inquiry.facts.prompt.get());
+        let kept = Kept::open(&worker.process, &target.id, context.facts.prompt.get());
         Some(Self { kept, listed: target })
     }
 
@@ -149,47 +149,47 @@
 /// the final step of a transfer.
 pub(crate) async fn go<P: Platform>(
     worker: Worker,
-    inquiry: Rc<Inquiry>,
+    context: Rc<Context>,
     trip: Trip,
 ) -> Result<Arrived, Ended> {
     let word = trip.way.word();
-    let result = travel::<P>(&worker, &inquiry, trip).await;
+    let result = travel::<P>(&worker, &context, trip).await;
     let outcome = match &result {
         Ok(_) => "arrived",
         Err(ended) => ended.word(),
     };
     worker.process.metrics.carried(if result.is_ok() { word } else { "failed" });
     log::info!(
-        request = inquiry.facts.request.as_str(), way = word, outcome = outcome; "carried on"
+        request = context.facts.request.as_str(), way = word, outcome = outcome; "carried on"
     );
     result
 }
 
 async fn travel<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     trip: Trip,
 ) -> Result<Arrived, Ended> {
-    let request = &inquiry.facts.request;
+    let request = &context.facts.request;
     let to = admission::within_limits(worker, trip.to).await;
     let Some(first) = to.first().cloned() else {
         // Without a pause all attempts would be used up before any engine accepts more.
         sleep(LIMITED_PAUSE).await;
         return Err(Ended::Unrun("limited"));
     };
-    if !matches!(trip.way, Way::Move { .. }) && quarantine::wait(worker, inquiry).await.is_some() {
+    if !matches!(trip.way, Way::Move { .. }) && quarantine::wait(worker, context).await.is_some() {
         return Err(Ended::Unrun("held back"));
     }
     match trip.way {
         Way::Switch => {
             let copy = Copy { at: first.address, name: request.clone() };
-            resume::<P>(worker, inquiry, &first, Some(copy), &trip.last).await
+            resume::<P>(worker, context, &first, Some(copy), &trip.last).await
         }
         Way::Move { from, left, held } => {
             let began = worker.process.clock.now();
             let turn = Turn::wait(&worker.fleet, &from.id, request, left).await;
             let turned = worker.process.clock.now();
-            let moved = transfer::move_run::<P>(worker, inquiry, &from, &to, held).await;
+            let moved = transfer::move_run::<P>(worker, context, &from, &to, held).await;
             log::info!(
                 request = request.as_str(), from:% = from.id, left:% = left,
                 waited_ms = millis(turned.since(began)),
@@ -199,31 +199,31 @@
             // The rest of the migration does not use the link between the two engines.
             drop(turn);
             let (last, copy) = (&trip.last, Some(moved.copy.clone()));
-            let resumed = match resume::<P>(worker, inquiry, &moved.to, copy.clone(), last).await {
+            let resumed = match resume::<P>(worker, context, &moved.to, copy.clone(), last).await {
                 // The source has stopped the run and still holds all of its memory.
                 Err(ended) if ended.is_unrun() => {
                     worker.fleet.spend(&from.id);
-                    resume::<P>(worker, inquiry, &from, copy, last).await
+                    resume::<P>(worker, context, &from, copy, last).await
                 }
                 result => result,
             };
             let kept = resumed.is_ok().then(|| moved.used());
             resumed.map(|arrived| Arrived { kept, ..arrived })
         }
-        Way::Again => resume::<P>(worker, inquiry, &first, None, &trip.last).await,
+        Way::Again => resume::<P>(worker, context, &first, None, &trip.last).await,
     }
 }
 
 /// Sends the request to another engine, which resumes it after the last event sent to the caller.
 async fn resume<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     to: &Target,
     copy: Option<Copy>,
     last: &Cell<Option<u64>>,
 ) -> Result<Arrived, Ended> {
     let extra = Extra { backup: None, copy, last_event: last.get() };
-    let begun = attempt::begin::<P>(worker, inquiry, &to.id, &extra).await?;
+    let begun = attempt::begin::<P>(worker, context, &to.id, &extra).await?;
     match begun.response.status {
         StatusCode::OK => Ok(Arrived { to: to.id.clone(), begun, kept: None }),
         _ => Err(Ended::Unknown("refused")),
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -38,11 +38,11 @@
 use crate::process::state::{Process, millis};
 
 /// Timeout of callers that send none: below the default timeouts of common clients.
-const PATIENCE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long before the caller would give up a request that has not begun is refused, so that the
 /// refusal arrives in time: ten network delays, plus the delay that a busy host may add.
-const TELL: Duration = Duration::from_millis(300);
+const REFUSAL_MARGIN: Duration = Duration::from_millis(300);
 
 /// How long the body of a request may take to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -65,13 +65,13 @@
 }
 
 impl Worker {
-    pub(crate) fn open(process: Arc<Process>, fleet: Arc<Fleet>) -> Self {
+    pub(crate) fn new(process: Arc<Process>, fleet: Arc<Fleet>) -> Self {
         Self { process, fleet }
     }
 }
 
 /// A request that may be served, with its route, service and deadlines.
-pub(crate) struct Inquiry {
+pub(crate) struct Context {
     pub(crate) facts: Facts,
     pub(crate) table: Arc<Table>,
     pub(crate) route: Route,
@@ -85,29 +85,29 @@
     pub(crate) body: Bytes,
     /// Fingerprint of workspace, path and body, which identifies the request when it is
     /// resubmitted.
-    pub(crate) print: Fingerprint,
+    pub(crate) fingerprint: Fingerprint,
     /// Whether it was granted a trial that has not reached a target yet.
-    pub(crate) trial: Cell<bool>,
+    pub(crate) has_trial: Cell<bool>,
     /// When its caller first sent it: earlier than its arrival if it was refused before.
-    pub(crate) wanted: Time,
+    pub(crate) first_sent_at: Time,
     /// When its answer should begin, by the objective of its route.
     pub(crate) objective: Time,
     /// When its caller gives up if the answer has not begun.
-    pub(crate) begin_by: Time,
+    pub(crate) start_deadline: Time,
     /// When the answer must be complete.
     pub(crate) deadline: Time,
     /// The caller's connection.
     pub(crate) io: Option<IoRef>,
 }
 
-impl Inquiry {
-    pub(crate) fn left(&self, now: Time) -> Duration {
+impl Context {
+    pub(crate) fn time_left(&self, now: Time) -> Duration {
         self.deadline.since(now)
     }
 
     /// Returns the request to the gate for one attempt.
-    pub(crate) fn ask(&self, avoid: Option<id::Target>, repeat: bool) -> gate::Request {
-        let workspace = self.workspace.clone().unwrap_or_else(nobody);
+    pub(crate) fn gate_request(&self, avoid: Option<id::Target>, retry: bool) -> gate::Request {
+        let workspace = self.workspace.clone().unwrap_or_else(public_workspace);
         let class = if migration::is_long(self) { Class::Overnight } else { Class::Live };
         let (class, limit) = match self.route.kind.is_stream() && self.service.engine.is_some() {
             true => (class, self.facts.limit),
@@ -121,9 +121,9 @@
             limit,
             prefix: fireflyhoist_policy::placement::NO_PREFIX,
             objective: self.objective,
-            deadline: self.begin_by,
+            deadline: self.start_deadline,
             avoid,
-            retry: repeat,
+            retry,
         }
     }
 
@@ -137,26 +137,26 @@
 }
 
 /// Returns the workspace of callers that need no key.
-fn nobody() -> id::Workspace {
+fn public_workspace() -> id::Workspace {
     "public".parse().expect("a fixed name is valid")
 }
 
 /// Serves one request; a streamed answer continues after this returns.
 pub(crate) async fn serve<P: Platform>(worker: &Worker, request: Request) -> Response {
-    let arrived = worker.process.clock.now();
+    let arrived_at = worker.process.clock.now();
     let open = worker.process.begin();
     let leaving = worker.process.is_leaving();
-    let mut answered = match inquire::<P>(worker, request, arrived).await {
-        Ok(inquiry) => {
-            let kind = inquiry.kind();
-            let id = inquiry.facts.request.clone();
-            let route = inquiry.route.name.clone();
-            let response = match (quarantine::refused(worker, &inquiry), inquiry.route.kind) {
+    let mut response = match resolve::<P>(worker, request, arrived_at).await {
+        Ok(context) => {
+            let kind = context.kind();
+            let id = context.facts.request.clone();
+            let route = context.route.name.clone();
+            let response = match (quarantine::refused(worker, &context), context.route.kind) {
                 (Some(refused), _) => refused,
-                (None, Kind::Stream { .. }) => stream::serve::<P>(worker, inquiry, open).await,
-                (None, Kind::Safe | Kind::Unsafe) => plain::serve::<P>(worker, &inquiry).await,
+                (None, Kind::Stream { .. }) => stream::serve::<P>(worker, context, open).await,
+                (None, Kind::Safe | Kind::Unsafe) => plain::serve::<P>(worker, &context).await,
             };
-            let elapsed = worker.process.clock.now().since(arrived);
+            let elapsed = worker.process.clock.now().since(arrived_at);
             let status = response.status().as_u16();
             worker.process.metrics.request(kind, status, elapsed);
             log::info!(
@@ -168,17 +168,17 @@
         Err(response) => response,
     };
     if leaving || worker.process.is_leaving() {
-        answered.head_mut().set_connection_type(ntex::http::ConnectionType::Close);
+        response.head_mut().set_connection_type(ntex::http::ConnectionType::Close);
     }
-    answered
+    response
 }
 
 /// Reads a request and resolves its route, workspace and service, or returns its refusal.
-async fn inquire<P: Platform>(
+async fn resolve<P: Platform>(
     worker: &Worker,
     mut request: Request,
-    arrived: Time,
-) -> Result<Inquiry, Response> {
+    arrived_at: Time,
+) -> Result<Context, Response> {
     let facts = P::facts(request.headers());
     worker.process.warm_up().await;
     let Some(table) = worker.process.table() else {
@@ -203,7 +203,7 @@
         (None, true) => return Err(refuse::unknown_key(&facts.request, revision)),
     };
     let limit = usize::try_from(table.text().bounds.body.get()).unwrap_or(usize::MAX);
-    let body = match timeout(BODY_TIMEOUT, read(request.take_payload(), limit)).await {
+    let body = match timeout(BODY_TIMEOUT, read_body(request.take_payload(), limit)).await {
         Ok(Some(body)) => body,
         Ok(None) => return Err(refuse::too_large(&facts.request)),
         Err(()) => return Err(refuse::body_late(&facts.request)),
@@ -214,24 +214,26 @@
     let (Some(service), Some(lane)) = (service, lane) else {
         return Err(refuse::no_target(&facts.request));
     };
-    let patience = facts.patience.unwrap_or(PATIENCE).min(route.timeout);
+    let request_timeout = facts.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let workspace_id = workspace.as_ref().map(|workspace| &workspace.id);
-    let print = Fingerprint::of(workspace_id, &path, &body);
-    let returned = route.kind.is_stream().then(|| worker.process.wanted_since(print)).flatten();
-    let wanted = returned.unwrap_or(arrived);
-    if returned.is_some() {
+    let fingerprint = Fingerprint::of(workspace_id, &path, &body);
+    let first_attempt_at =
+        route.kind.is_stream().then(|| worker.process.wanted_since(fingerprint)).flatten();
+    let first_sent_at = first_attempt_at.unwrap_or(arrived_at);
+    if first_attempt_at.is_some() {
         log::info!(
-            request = facts.request.as_str(), wanted_ms = millis(arrived.since(wanted)); "came back"
+            request = facts.request.as_str(), wanted_ms = millis(arrived_at.since(first_sent_at)); "came back"
         );
     }
-    let silence = route.silence.map_or(patience, |silence| silence.saturating_sub(TELL));
-    Ok(Inquiry {
-        print,
-        trial: Cell::new(false),
-        wanted,
-        objective: wanted + route.objective,
-        begin_by: arrived + silence.min(patience),
+    let start_timeout =
+        route.silence.map_or(request_timeout, |silence| silence.saturating_sub(REFUSAL_MARGIN));
+    Ok(Context {
+        fingerprint,
+        has_trial: Cell::new(false),
+        first_sent_at,
+        objective: first_sent_at + route.objective,
+        start_deadline: arrived_at + start_timeout.min(request_timeout),
         label: workspace.as_ref().map(|w| w.label.clone()),
         workspace: workspace.map(|w| w.id),
         method: request.method().clone(),
@@ -244,12 +246,12 @@
         service,
         lane,
         body,
-        deadline: arrived + patience,
+        deadline: arrived_at + request_timeout,
     })
 }
 
 /// Reads a body. Returns `None` if it is larger than `limit` bytes or its connection is lost.
-async fn read(mut payload: Payload, limit: usize) -> Option<Bytes> {
+async fn read_body(mut payload: Payload, limit: usize) -> Option<Bytes> {
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.ok()?;
@@ -283,12 +285,12 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut kept = HeaderMap::new();
+    let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
         let text = name.as_str();
         if !HOP_BY_HOP.contains(&text) && !named.iter().any(|named| named == text) {
-            kept.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -17,7 +17,7 @@
 use crate::process::lane::Pass;
 use crate::request::admission::{self, Stop};
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
-use crate::request::{Inquiry, Worker, end_to_end, liveness, quarantine, refuse};
+use crate::request::{Context, Worker, end_to_end, liveness, quarantine, refuse};
 
 /// Maximum size of an answer in bytes. Answers are buffered until they are complete, so that a
 /// truncated one is detected and may be fetched again.
@@ -46,12 +46,12 @@
 }
 
 /// Serves one request.
-pub(crate) async fn serve<P: Platform>(worker: &Worker, inquiry: &Inquiry) -> Response {
-    let request = &inquiry.facts.request;
-    let left = inquiry.left(worker.process.clock.now());
+pub(crate) async fn serve<P: Platform>(worker: &Worker, context: &Context) -> Response {
+    let request = &context.facts.request;
+    let left = context.time_left(worker.process.clock.now());
     let mut run = Run {
         worker,
-        inquiry,
+        context,
         sent: 0,
         unreached: 0,
         unknown: false,
@@ -73,7 +73,7 @@
 /// The progress of one request over its attempts.
 struct Run<'a> {
     worker: &'a Worker,
-    inquiry: &'a Inquiry,
+    context: &'a Context,
     /// Number of attempts that were sent.
     sent: u32,
     /// Number of attempts that failed before anything was sent.
@@ -95,26 +95,26 @@
 impl Run<'_> {
     async fn play<P: Platform>(&mut self) -> Response {
         let mut pending = FuturesUnordered::new();
-        let hedge = self.inquiry.route.objective.mul_f64(HEDGE);
+        let hedge = self.context.route.objective.mul_f64(HEDGE);
         let mut avoid = None;
         let mut again = true;
         loop {
             if std::mem::take(&mut again) && self.may_send() {
                 // An attempt in flight counts as one that has reached its target.
                 let repeat = self.arrived || !pending.is_empty();
-                match admission::admit(self.worker, self.inquiry, avoid.as_ref(), repeat).await {
+                match admission::admit(self.worker, self.context, avoid.as_ref(), repeat).await {
                     Ok(pass) => {
                         avoid = Some(pass.target().clone());
                         self.sent += 1;
                         self.unknown = true;
-                        pending.push(one::<P>(self.worker, self.inquiry, pass));
+                        pending.push(one::<P>(self.worker, self.context, pass));
                     }
                     Err(Stop::Held(wait)) => self.held = Some(wait),
                     Err(Stop::Refused(refusal)) => self.refusal = Some(refusal),
                 }
             }
-            let suspect = self.worker.process.ends(self.inquiry.print) > 0;
-            let may_hedge = self.inquiry.route.kind == Kind::Safe && self.sent == 1 && !suspect;
+            let suspect = self.worker.process.ends(self.context.fingerprint) > 0;
+            let may_hedge = self.context.route.kind == Kind::Safe && self.sent == 1 && !suspect;
             let done = tokio::select! {
                 done = pending.next() => done,
                 () = sleep(hedge), if may_hedge && !pending.is_empty() => {
@@ -132,12 +132,12 @@
     }
 
     fn may_send(&self) -> bool {
-        let more = self.sent < self.inquiry.route.attempts.max(1);
+        let more = self.sent < self.context.route.attempts.max(1);
         more && self.unreached <= UNREACHED && (!self.unknown || self.is_safe())
     }
 
     fn is_safe(&self) -> bool {
-        self.inquiry.route.kind.is_idempotent()
+        self.context.route.kind.is_idempotent()
     }
 
     /// Handles the result of an attempt. Returns the response to the caller if that is final;
@@ -163,18 +163,18 @@
                 }
                 None
             }
-            Err(Ended::Unknown("late")) => Some(refuse::late(&self.inquiry.facts.request)),
+            Err(Ended::Unknown("late")) => Some(refuse::late(&self.context.facts.request)),
             Err(Ended::Unknown(_)) if self.is_safe() => {
                 self.doubtful = true;
                 None
             }
-            Err(Ended::Unknown(_)) => Some(refuse::lost(&self.inquiry.facts.request)),
+            Err(Ended::Unknown(_)) => Some(refuse::lost(&self.context.facts.request)),
         }
     }
 
     /// Returns the response when no attempt is in flight and no other may be sent.
     fn give_up(&mut self) -> Response {
-        let request = &self.inquiry.facts.request;
+        let request = &self.context.facts.request;
         if let Some(whole) = self.kept.take() {
             return respond(whole);
         }
@@ -182,9 +182,9 @@
             return refuse::lost(request);
         }
         if let Some(wait) = self.held {
-            return quarantine::refuse(self.worker, self.inquiry, wait);
+            return quarantine::refuse(self.worker, self.context, wait);
         }
-        let left = self.inquiry.left(self.worker.process.clock.now());
+        let left = self.context.time_left(self.worker.process.clock.now());
         let after = come_back(left);
         match self.refusal.take() {
             Some(refusal) => {
@@ -196,9 +196,9 @@
     }
 }
 
-async fn one<P: Platform>(worker: &Worker, inquiry: &Inquiry, pass: Pass) -> Done {
+async fn one<P: Platform>(worker: &Worker, context: &Context, pass: Pass) -> Done {
     let target = pass.target().clone();
-    let result = fetch::<P>(worker, inquiry, &target).await;
+    let result = fetch::<P>(worker, context, &target).await;
     let outcome = match &result {
         Ok(whole) if whole.status.is_server_error() => Outcome::ServerError,
         Ok(_) => Outcome::Whole,
@@ -206,22 +206,22 @@
     };
     pass.finish(outcome);
     if result.is_ok() {
-        worker.process.note_whole(inquiry.print);
+        worker.process.note_whole(context.fingerprint);
     }
     Done { target, result }
 }
 
 async fn fetch<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     target: &id::Target,
 ) -> Result<Whole, Ended> {
     let listed = worker.process.target(target).ok_or(Ended::Unrun("gone"))?;
-    let begun = attempt::begin::<P>(worker, inquiry, target, &Extra::default()).await?;
+    let begun = attempt::begin::<P>(worker, context, target, &Extra::default()).await?;
     let Begun { mut response, sent } = begun;
     let body = response.whole(MAX_ANSWER).await.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
-            liveness::Run::of(worker, inquiry, &listed, sent).spawn();
+            liveness::Run::of(worker, context, &listed, sent).spawn();
         }
         Ended::Unknown("cut")
     })?;
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -8,23 +8,23 @@
 use crate::connection::exchange::CONNECT_TIMEOUT;
 use crate::connection::frame::Question;
 use crate::process::state::millis;
-use crate::request::{Inquiry, Worker, refuse};
+use crate::request::{Context, Worker, refuse};
 
 /// How long the entry that grants trials may take to answer: about a hundred round trips.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Returns the refusal of a quarantined request, before it waits for anything.
-pub(crate) fn refused(worker: &Worker, inquiry: &Inquiry) -> Option<Response> {
-    match worker.process.verdict(inquiry.print) {
+pub(crate) fn refused(worker: &Worker, context: &Context) -> Option<Response> {
+    match worker.process.verdict(context.fingerprint) {
         Decision::Allow | Decision::Trial => None,
-        Decision::Refuse(wait) => Some(refuse(worker, inquiry, wait)),
+        Decision::Refuse(wait) => Some(refuse(worker, context, wait)),
     }
 }
 
 /// Refuses a quarantined request of which no attempt has run.
-pub(crate) fn refuse(worker: &Worker, inquiry: &Inquiry, wait: Duration) -> Response {
-    note(worker, inquiry, "refused", wait);
-    refuse::held_back(&inquiry.facts.request, wait)
+pub(crate) fn refuse(worker: &Worker, context: &Context, wait: Duration) -> Response {
+    note(worker, context, "refused", wait);
+    refuse::held_back(&context.facts.request, wait)
 }
 
 /// Acquires permission to send a request to a target, with a trial if it needs one. Returns `None`
@@ -32,30 +32,30 @@
 ///
 /// Called before every send except a transfer of a running run: a poison request crashes targets
 /// however it reaches them.
-pub(crate) async fn wait(worker: &Worker, inquiry: &Inquiry) -> Option<Duration> {
-    if inquiry.trial.get() {
+pub(crate) async fn wait(worker: &Worker, context: &Context) -> Option<Duration> {
+    if context.has_trial.get() {
         return None;
     }
-    worker.process.settle(inquiry.print, CONNECT_TIMEOUT).await;
-    match worker.process.verdict(inquiry.print) {
+    worker.process.settle(context.fingerprint, CONNECT_TIMEOUT).await;
+    match worker.process.verdict(context.fingerprint) {
         Decision::Allow => None,
         Decision::Refuse(wait) => Some(wait),
         Decision::Trial => {
-            let record = worker.process.poison_record(inquiry.print)?;
+            let record = worker.process.poison_record(context.fingerprint)?;
             let wait = worker.fleet.ask(Question::Trial(record), TRIAL_TIMEOUT).await;
             if wait.is_none() {
-                inquiry.trial.set(true);
-                note(worker, inquiry, "tried", Duration::ZERO);
+                context.has_trial.set(true);
+                note(worker, context, "tried", Duration::ZERO);
             }
             wait
         }
     }
 }
 
-fn note(worker: &Worker, inquiry: &Inquiry, decision: &'static str, wait: Duration) {
+fn note(worker: &Worker, context: &Context, decision: &'static str, wait: Duration) {
     worker.process.metrics.held(decision);
     log::info!(
-        request = inquiry.facts.request.as_str(), print:% = inquiry.print, decision = decision,
-        ends = worker.process.ends(inquiry.print), retry_after_ms = millis(wait); "held back"
+        request = context.facts.request.as_str(), print:% = context.fingerprint, decision = decision,
+        ends = worker.process.ends(context.fingerprint), retry_after_ms = millis(wait); "held back"
     );
 }
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -5,7 +5,7 @@
 use std::convert::Infallible;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
+use std::task::{self, Poll};
 use std::time::Duration;
 
 use fireflyhoist_policy::gate::Outcome;
@@ -25,7 +25,7 @@
 use crate::request::attempt::{Begun, Ended};
 use crate::request::migration::{self, Arrived, Backup, Trip, Way};
 use crate::request::sse::Splitter;
-use crate::request::{Inquiry, Worker, liveness};
+use crate::request::{Context, Worker, liveness};
 
 /// Maximum number of chunks that are queued for a slow caller before no more are read from the
 /// engine.
@@ -57,7 +57,7 @@
 impl Stream for Body {
     type Item = Result<Bytes, Infallible>;
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
+    fn poll_next(mut self: Pin<&mut Self>, cx: &mut task::Context<'_>) -> Poll<Option<Self::Item>> {
         if self.ended {
             return Poll::Ready(None);
         }
@@ -91,7 +91,7 @@
 /// Relays one generation from its engines to its caller.
 pub(crate) struct Pump {
     worker: Worker,
-    inquiry: Rc<Inquiry>,
+    context: Rc<Context>,
     pass: Pass,
     backup: Option<Backup>,
     /// The response of the current engine; `None` from the end of a run to the start of the next.
@@ -120,7 +120,7 @@
     /// Starts to relay an answer whose head has been received; returns the body for the caller.
     pub(crate) fn spawn<P: Platform>(
         worker: Worker,
-        inquiry: Rc<Inquiry>,
+        context: Rc<Context>,
         pass: Pass,
         backup: Option<Backup>,
         begun: Begun,
@@ -128,11 +128,11 @@
         open: Option<Open>,
     ) -> Body {
         let (pieces, receiver) = mpsc::channel(BACKLOG);
-        let last = Rc::new(Cell::new(inquiry.facts.last_event));
+        let last = Rc::new(Cell::new(context.facts.last_event));
         let at = worker.process.target(pass.target());
         let pump = Self {
             worker,
-            inquiry,
+            context,
             pass,
             backup,
             upstream: Some(begun.response),
@@ -156,7 +156,7 @@
         let end = self.play::<P>().await;
         let elapsed = self.worker.process.clock.now().since(began);
         log::info!(
-            request = self.inquiry.facts.request.as_str(), end:? = end, events = self.events,
+            request = self.context.facts.request.as_str(), end:? = end, events = self.events,
             last = self.last.get().unwrap_or(0), trips = self.trips, target:% = self.pass.target(),
             ms = crate::process::state::millis(elapsed); "stream ended"
         );
@@ -164,12 +164,12 @@
             End::Whole => {
                 // Fails only if the caller has closed its connection.
                 let _ = self.pieces.send(Piece::End).await;
-                self.worker.process.note_whole(self.inquiry.print);
+                self.worker.process.note_whole(self.context.fingerprint);
                 self.pass.finish(Outcome::Whole);
             }
             End::Left => self.pass.finish(Outcome::Cancelled),
             End::Late | End::Cut => {
-                if let Some(io) = &self.inquiry.io {
+                if let Some(io) = &self.context.io {
                     io.close();
                 }
                 let outcome = if end == End::Cut { Outcome::Failed } else { Outcome::Cancelled };
@@ -179,14 +179,14 @@
     }
 
     async fn play<P: Platform>(&mut self) -> End {
-        let gone = self.inquiry.io.as_ref().map(ntex::io::IoRef::on_disconnect);
+        let gone = self.context.io.as_ref().map(ntex::io::IoRef::on_disconnect);
         let gone = async move {
             match gone {
                 Some(gone) => gone.await,
                 None => std::future::pending().await,
             }
         };
-        let deadline = sleep(self.inquiry.left(self.worker.process.clock.now()));
+        let deadline = sleep(self.context.time_left(self.worker.process.clock.now()));
         let carrying = Fuse::terminated();
         pin_mut!(gone, deadline, carrying);
         let mut targets = self.worker.process.watch_targets();
@@ -196,8 +196,8 @@
                 silent = false;
                 match self.trip() {
                     Some(trip) => {
-                        let (worker, inquiry) = (self.worker.clone(), Rc::clone(&self.inquiry));
-                        carrying.set(migration::go::<P>(worker, inquiry, trip).fuse());
+                        let (worker, context) = (self.worker.clone(), Rc::clone(&self.context));
+                        carrying.set(migration::go::<P>(worker, context, trip).fuse());
                         under_way = true;
                     }
                     None if self.upstream.is_none() => return End::Cut,
@@ -231,7 +231,7 @@
     fn broke_off(&mut self) {
         self.upstream = None;
         if let Some(at) = &self.at {
-            liveness::Run::of(&self.worker, &self.inquiry, at, self.sent).spawn();
+            liveness::Run::of(&self.worker, &self.context, at, self.sent).spawn();
         }
     }
 
@@ -248,8 +248,8 @@
     /// Whether the answer should finish where it is: it is expected to end within the notice that
     /// its engine gives, and if it does not, another run can continue after its last event.
     fn may_stay(&self) -> bool {
-        let long = migration::is_long(&self.inquiry) || self.produced() >= migration::WORTH_A_COPY;
-        self.inquiry.route.kind.is_idempotent() && !long
+        let long = migration::is_long(&self.context) || self.produced() >= migration::WORTH_A_COPY;
+        self.context.route.kind.is_idempotent() && !long
     }
 
     /// Returns the next migration to try, or `None` if there is none.
@@ -257,8 +257,8 @@
         if self.trips >= TRIPS {
             return None;
         }
-        let engine = self.inquiry.service.engine.as_ref()?;
-        let (moves, resumable) = (engine.moves, self.inquiry.route.kind.is_idempotent());
+        let engine = self.context.service.engine.as_ref()?;
+        let (moves, resumable) = (engine.moves, self.context.route.kind.is_idempotent());
         let process = &self.worker.process;
         let (way, to) = if let Some(backup) = self.backup.take_if(|_| !self.switched) {
             self.switched = true;
@@ -281,7 +281,7 @@
 
     /// Whether the route and the retry budget allow one more run.
     fn may_run_again(&self) -> bool {
-        self.runs < self.inquiry.route.attempts && self.pass.try_repeat()
+        self.runs < self.context.route.attempts && self.pass.try_repeat()
     }
 
     fn refuges(&self) -> Vec<Target> {
@@ -296,17 +296,17 @@
     /// tend to continue.
     fn left(&self) -> Tokens {
         let produced = self.produced();
-        let guess = migration::expected(&self.inquiry).get();
+        let guess = migration::expected(&self.context).get();
         Tokens::new(guess.saturating_sub(produced).max(produced / 3))
     }
 
     /// Returns the number of tokens in the answer's memory.
     fn held(&self) -> Tokens {
-        Tokens::new(self.inquiry.facts.prompt.get() + self.produced())
+        Tokens::new(self.context.facts.prompt.get() + self.produced())
     }
 
     fn produced(&self) -> u64 {
-        let engine = self.inquiry.service.engine.as_ref();
+        let engine = self.context.service.engine.as_ref();
         self.events * engine.map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
@@ -344,12 +344,12 @@
         }
         if self.at.as_ref().is_some_and(restarted) {
             log::info!(
-                request = self.inquiry.facts.request.as_str(), target:% = self.pass.target();
+                request = self.context.facts.request.as_str(), target:% = self.pass.target();
                 "run lost, its engine has restarted"
             );
             self.upstream = None;
             if let Some(at) = self.at.take() {
-                liveness::Run::of(&self.worker, &self.inquiry, &at, self.sent).ended();
+                liveness::Run::of(&self.worker, &self.context, &at, self.sent).ended();
             }
         }
     }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -16,7 +16,7 @@
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
 use crate::request::migration::{self, Backup};
 use crate::request::relay::Pump;
-use crate::request::{Inquiry, Worker, end_to_end, entries, liveness, quarantine, refuse};
+use crate::request::{Context, Worker, end_to_end, entries, liveness, quarantine, refuse};
 
 /// Divisor of the time that a refused caller has left: it is told to retry after at most this part
 /// of it, since it needs the rest for the answer.
@@ -26,17 +26,17 @@
 const MAX_ANSWER: usize = 1 << 20;
 
 /// Serves one generation; its answer is relayed after this returns.
-pub(crate) async fn serve<P: Platform>(worker: &Worker, inquiry: Inquiry, open: Open) -> Response {
-    let inquiry = Rc::new(inquiry);
-    if migration::is_long(&inquiry)
-        && let Some(after) = sent_away(worker, &inquiry)
+pub(crate) async fn serve<P: Platform>(worker: &Worker, context: Context, open: Open) -> Response {
+    let context = Rc::new(context);
+    if migration::is_long(&context)
+        && let Some(after) = sent_away(worker, &context)
     {
-        return refuse::leaving(&inquiry.facts.request, after);
+        return refuse::leaving(&context.facts.request, after);
     }
-    let left = inquiry.left(worker.process.clock.now());
+    let left = context.time_left(worker.process.clock.now());
     let mut run = Run {
         worker,
-        inquiry: Rc::clone(&inquiry),
+        context: Rc::clone(&context),
         open: Some(open),
         sent: 0,
         arrived: false,
@@ -46,13 +46,13 @@
     let finished = timeout(left, run.play::<P>()).await.ok();
     match finished {
         Some(response) => response,
-        None if run.may_have_run() => refuse::late(&inquiry.facts.request),
-        None => refuse::declined(&inquiry.facts.request, come_back(left)),
+        None if run.may_have_run() => refuse::late(&context.facts.request),
+        None => refuse::declined(&context.facts.request, come_back(left)),
     }
 }
 
 /// Returns when to retry if this entry is draining and the answer would not end before it stops.
-fn sent_away(worker: &Worker, inquiry: &Inquiry) -> Option<Duration> {
+fn sent_away(worker: &Worker, context: &Context) -> Option<Duration> {
     let (since, left) = worker.process.leaving()?;
     let others = worker.fleet.has_others();
     let situation = State {
@@ -61,7 +61,7 @@
         remaining: left,
         address_ttl: entries::TTL,
     };
-    match shutdown::decide(&situation, migration::expected(inquiry)) {
+    match shutdown::decide(&situation, migration::expected(context)) {
         Decision::Serve => None,
         Decision::RetryAfter(after) => Some(after),
     }
@@ -70,7 +70,7 @@
 /// The progress of one generation until its answer begins.
 struct Run<'a> {
     worker: &'a Worker,
-    inquiry: Rc<Inquiry>,
+    context: Rc<Context>,
     open: Option<Open>,
     /// Number of attempts that were sent.
     sent: u32,
@@ -86,9 +86,9 @@
     async fn play<P: Platform>(&mut self) -> Response {
         let mut avoid: Option<id::Target> = None;
         loop {
-            let inquiry = &self.inquiry;
+            let context = &self.context;
             let pass =
-                match admission::admit(self.worker, inquiry, avoid.as_ref(), self.arrived).await {
+                match admission::admit(self.worker, context, avoid.as_ref(), self.arrived).await {
                     Ok(pass) => pass,
                     Err(Stop::Held(wait)) => return self.held_back(wait),
                     Err(Stop::Refused(refusal)) => return self.refused(refusal),
@@ -108,12 +108,12 @@
 
     /// Logs why the gate chose a target, so that a late start can be explained.
     fn note_placed(&self, pass: &Pass) {
-        let (inquiry, process) = (&self.inquiry, &self.worker.process);
+        let (context, process) = (&self.context, &self.worker.process);
         let Some(grounds) = pass.grounds() else { return };
         log::info!(
-            request = inquiry.facts.request.as_str(), target:% = pass.target(),
-            waited_ms = millis(process.clock.now().since(inquiry.wanted)),
-            objective_ms = millis(inquiry.route.objective),
+            request = context.facts.request.as_str(), target:% = pass.target(),
+            waited_ms = millis(process.clock.now().since(context.first_sent_at)),
+            objective_ms = millis(context.route.objective),
             load:% = format_args!("{:.2}", grounds.load), streams = grounds.streams,
             unread:% = grounds.unread, view_ms = millis(grounds.age), late = grounds.late; "placed"
         );
@@ -121,9 +121,9 @@
 
     /// Handles a failed attempt: returns the response to the caller, or `None` to try again.
     fn ended(&mut self, ended: &Ended) -> Option<Response> {
-        let request = &self.inquiry.facts.request;
-        let more = self.sent < self.inquiry.route.attempts.max(1);
-        let left = self.inquiry.left(self.worker.process.clock.now());
+        let request = &self.context.facts.request;
+        let more = self.sent < self.context.route.attempts.max(1);
+        let left = self.context.time_left(self.worker.process.clock.now());
         self.arrived |= !matches!(ended, Ended::Unsent(_));
         self.flying = false;
         self.doubtful |= !ended.is_unrun();
@@ -137,7 +137,7 @@
             Ended::Unrun(_) if self.doubtful => Some(refuse::lost(request)),
             Ended::Unrun(_) => Some(refuse::declined(request, come_back(left))),
             Ended::Unknown("late") => Some(refuse::late(request)),
-            Ended::Unknown(_) if self.inquiry.route.kind.is_idempotent() && more => None,
+            Ended::Unknown(_) if self.context.route.kind.is_idempotent() && more => None,
             Ended::Unknown(_) => Some(refuse::lost(request)),
         }
     }
@@ -149,30 +149,32 @@
 
     fn held_back(&self, wait: Duration) -> Response {
         match self.may_have_run() {
-            true => refuse::lost(&self.inquiry.facts.request),
-            false => quarantine::refuse(self.worker, &self.inquiry, wait),
+            true => refuse::lost(&self.context.facts.request),
+            false => quarantine::refuse(self.worker, &self.context, wait),
         }
     }
 
     fn refused(&self, refusal: Refusal) -> Response {
         if self.may_have_run() {
-            return refuse::lost(&self.inquiry.facts.request);
+            return refuse::lost(&self.context.facts.request);
         }
         let now = self.worker.process.clock.now();
-        self.worker.fleet.share_refused(self.inquiry.print, now.since(self.inquiry.wanted));
+        self.worker
+            .fleet
+            .share_refused(self.context.fingerprint, now.since(self.context.first_sent_at));
         // The caller needs the rest of its time for the answer.
-        let most = self.inquiry.left(now) / COME_BACK_PART;
+        let most = self.context.time_left(now) / COME_BACK_PART;
         let retry_after = refusal.retry_after.min(most);
-        refuse::refusal(&self.inquiry.facts.request, &Refusal { retry_after, ..refusal })
+        refuse::refusal(&self.context.facts.request, &Refusal { retry_after, ..refusal })
     }
 
     async fn attempt<P: Platform>(&mut self, pass: Pass) -> Result<Response, Ended> {
         self.sent += 1;
         self.flying = true;
         self.worker.process.note_sent();
-        let backup = Backup::choose(self.worker, &self.inquiry, &pass, pass.target());
+        let backup = Backup::choose(self.worker, &self.context, &pass, pass.target());
         let extra = Extra { backup: backup.as_ref().map(Backup::address), ..Extra::default() };
-        let begun = attempt::begin::<P>(self.worker, &self.inquiry, pass.target(), &extra).await;
+        let begun = attempt::begin::<P>(self.worker, &self.context, pass.target(), &extra).await;
         let mut begun = match begun {
             Ok(begun) => begun,
             Err(ended) => {
@@ -187,9 +189,9 @@
         for (name, value) in &end_to_end(&begun.response.headers) {
             head.header(name.clone(), value.clone());
         }
-        let (open, inquiry, worker) =
-            (self.open.take(), Rc::clone(&self.inquiry), self.worker.clone());
-        let body = Pump::spawn::<P>(worker, inquiry, pass, backup, begun, self.sent, open);
+        let (open, context, worker) =
+            (self.open.take(), Rc::clone(&self.context), self.worker.clone());
+        let body = Pump::spawn::<P>(worker, context, pass, backup, begun, self.sent, open);
         Ok(head.streaming(body))
     }
 
@@ -202,13 +204,13 @@
         pass.finish(if failed { Outcome::ServerError } else { Outcome::Whole });
         let body = response.whole(MAX_ANSWER).await.map_err(|_| {
             if let Some(target) = &listed {
-                liveness::Run::of(self.worker, &self.inquiry, target, *sent).spawn();
+                liveness::Run::of(self.worker, &self.context, target, *sent).spawn();
             }
             Ended::Unknown("cut")
         })?;
-        self.worker.process.note_whole(self.inquiry.print);
-        let more = self.sent < self.inquiry.route.attempts;
-        if failed && more && self.inquiry.route.kind.is_idempotent() {
+        self.worker.process.note_whole(self.context.fingerprint);
+        let more = self.sent < self.context.route.attempts;
+        if failed && more && self.context.route.kind.is_idempotent() {
             return Err(Ended::Unknown("failed"));
         }
         let mut head = Response::build(response.status);
--- a/crates/gateway/src/request/transfer.rs
+++ b/crates/gateway/src/request/transfer.rs
@@ -15,7 +15,7 @@
 use crate::platform::{Call, Copy, Moved, Platform};
 use crate::process::kept::Kept;
 use crate::request::attempt::Ended;
-use crate::request::{Inquiry, Worker};
+use crate::request::{Context, Worker};
 
 /// How long one transfer may take: a second for a full memory on an idle link, plus the time in the
 /// engine's queue.
@@ -96,7 +96,7 @@
 /// had been transferred.
 pub(crate) async fn move_run<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     from: &Target,
     to: &[Target],
     held: Tokens,
@@ -104,8 +104,8 @@
     let mut ended = Ended::Unrun("nowhere");
     for to in to.iter().take(MOVE_PLACES) {
         let kept = Kept::open(&worker.process, &to.id, held.get());
-        match move_once::<P>(worker, inquiry, from, to.address, false).await {
-            Ok(name) => return move_rest::<P>(worker, inquiry, from, to, name, kept).await,
+        match move_once::<P>(worker, context, from, to.address, false).await {
+            Ok(name) => return move_rest::<P>(worker, context, from, to, name, kept).await,
             Err(Ended::Unrun("no room")) => ended = Ended::Unrun("no room"),
             Err(other) => return Err(other),
         }
@@ -116,7 +116,7 @@
 /// Stops a run whose memory has been copied in part, and copies the rest.
 async fn move_rest<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     from: &Target,
     to: &Target,
     first: SmolStr,
@@ -128,10 +128,10 @@
         let copy = Copy { at: from.address, name };
         Relocated { to: to.clone(), copy, kept, unused }
     };
-    match move_once::<P>(worker, inquiry, from, to.address, true).await {
+    match move_once::<P>(worker, context, from, to.address, true).await {
         Ok(name) => Ok(relocated(name, unused)),
         Err(Ended::Unknown("move broken")) => {
-            log::info!(request = inquiry.facts.request.as_str(); "resuming from a partial copy");
+            log::info!(request = context.facts.request.as_str(); "resuming from a partial copy");
             Ok(relocated(first, unused))
         }
         Err(other) => Err(other),
@@ -147,14 +147,14 @@
 
 async fn move_once<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     from: &Target,
     to: SocketAddr,
     last: bool,
 ) -> Result<SmolStr, Ended> {
     for _ in 0..MOVE_TRIES {
         worker.fleet.spend(&from.id);
-        let call = P::move_run(&inquiry.facts.request, to, last);
+        let call = P::move_run(&context.facts.request, to, last);
         let called = exchange::call(from.address, outgoing(call), MOVE_TIMEOUT, MAX_REPLY).await;
         let (status, body): (StatusCode, Bytes) = called.map_err(|error| broken(&error))?;
         match P::moved(status, &body) {
