--- a/crates/gateway/src/request/admission.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -18,11 +18,11 @@
 
 /// Why a request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Stop {
+pub(crate) enum Rejection {
     /// The gate refuses it.
     Refused(Refusal),
     /// It is quarantined, and may be sent again after this time.
-    Held(Duration),
+    Quarantined(Duration),
 }
 
 /// Waits until a request may be sent to a target and returns the pass for that target.
@@ -33,57 +33,58 @@
     worker: &Worker,
     context: &Context,
     avoid: Option<&id::Target>,
-    mut repeat: bool,
-) -> Result<Pass, Stop> {
+    mut retry: bool,
+) -> Result<Pass, Rejection> {
     loop {
-        let ask = context.gate_request(avoid.cloned(), repeat);
-        let pass = context.lane.admit(ask).await.map_err(|refusal| stop(context, refusal))?;
-        if let Some((why, wait)) = over_limit(worker, pass.target()).await {
-            context.lane.close_target(pass.target(), wait, why);
+        let request = context.gate_request(avoid.cloned(), retry);
+        let pass =
+            context.lane.admit(request).await.map_err(|refusal| log_refusal(context, refusal))?;
+        if let Some((exclusion, wait)) = check_limit(worker, pass.target()).await {
+            context.lane.close_target(pass.target(), wait, exclusion);
             // The retry budget has been charged for this attempt already.
-            repeat = false;
+            retry = false;
             continue;
         }
-        return match quarantine::wait(worker, context).await {
-            Some(wait) => Err(Stop::Held(wait)),
+        return match quarantine::acquire(worker, context).await {
+            Some(wait) => Err(Rejection::Quarantined(wait)),
             None => Ok(pass),
         };
     }
 }
 
 /// Logs why targets were excluded.
-fn stop(context: &Context, refusal: Refusal) -> Stop {
+fn log_refusal(context: &Context, refusal: Refusal) -> Rejection {
     let excluded = context.lane.exclusions();
     log::info!(
         request = context.facts.request.as_str(), reason:% = refusal.reason,
         excluded = excluded.as_str(); "no target takes it"
     );
-    Stop::Refused(refusal)
+    Rejection::Refused(refusal)
 }
 
 /// Asks the entry that owns the target's token bucket for one request. Returns why and for how long
 /// the target accepts no more, or `None` if the request may be sent now.
-async fn over_limit(worker: &Worker, target: &id::Target) -> Option<(Exclusion, Duration)> {
+async fn check_limit(worker: &Worker, target: &id::Target) -> Option<(Exclusion, Duration)> {
     let question = worker.process.question(target)?;
-    let why = match question {
+    let exclusion = match question {
         Question::Cold(_) => Exclusion::Cold,
         Question::Send(_) | Question::Trial(_) => Exclusion::Limited,
     };
     let wait = worker.fleet.ask(question, SEND_TIMEOUT).await;
-    worker.process.metrics.limited(why, if wait.is_some() { "elsewhere" } else { "sent" });
-    wait.map(|wait| (why, wait))
+    worker.process.metrics.limited(exclusion, if wait.is_some() { "elsewhere" } else { "sent" });
+    wait.map(|wait| (exclusion, wait))
 }
 
 /// Filters targets, given in order of preference, to those that accept a request now: all targets
 /// without a limit or, if there are none, the first target whose limit grants the request.
 pub(crate) async fn within_limits(worker: &Worker, targets: Vec<Target>) -> Vec<Target> {
     let limited = |target: &Target| worker.process.question(&target.id).is_some();
-    let (limited, free): (Vec<Target>, Vec<Target>) = targets.into_iter().partition(limited);
-    if !free.is_empty() {
-        return free;
+    let (limited, unlimited): (Vec<Target>, Vec<Target>) = targets.into_iter().partition(limited);
+    if !unlimited.is_empty() {
+        return unlimited;
     }
     for target in limited {
-        if over_limit(worker, &target.id).await.is_none() {
+        if check_limit(worker, &target.id).await.is_none() {
             return vec![target];
         }
     }
--- a/crates/gateway/src/request/migration.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -177,7 +177,8 @@
         sleep(LIMITED_PAUSE).await;
         return Err(Ended::Unrun("limited"));
     };
-    if !matches!(trip.way, Way::Move { .. }) && quarantine::wait(worker, context).await.is_some() {
+    if !matches!(trip.way, Way::Move { .. }) && quarantine::acquire(worker, context).await.is_some()
+    {
         return Err(Ended::Unrun("held back"));
     }
     match trip.way {
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -151,7 +151,7 @@
             let kind = context.kind();
             let id = context.facts.request.clone();
             let route = context.route.name.clone();
-            let response = match (quarantine::refused(worker, &context), context.route.kind) {
+            let response = match (quarantine::check(worker, &context), context.route.kind) {
                 (Some(refused), _) => refused,
                 (None, Kind::Stream { .. }) => stream::serve::<P>(worker, context, open).await,
                 (None, Kind::Safe | Kind::Unsafe) => plain::serve::<P>(worker, &context).await,
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -15,7 +15,7 @@
 use crate::connection::exchange::Failure;
 use crate::platform::Platform;
 use crate::process::lane::Pass;
-use crate::request::admission::{self, Stop};
+use crate::request::admission::{self, Rejection};
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
 use crate::request::{Context, Worker, end_to_end, liveness, quarantine, refuse};
 
@@ -109,8 +109,8 @@
                         self.unknown = true;
                         pending.push(one::<P>(self.worker, self.context, pass));
                     }
-                    Err(Stop::Held(wait)) => self.held = Some(wait),
-                    Err(Stop::Refused(refusal)) => self.refusal = Some(refusal),
+                    Err(Rejection::Quarantined(wait)) => self.held = Some(wait),
+                    Err(Rejection::Refused(refusal)) => self.refusal = Some(refusal),
                 }
             }
             let suspect = self.worker.process.ends(self.context.fingerprint) > 0;
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -14,7 +14,7 @@
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Returns the refusal of a quarantined request, before it waits for anything.
-pub(crate) fn refused(worker: &Worker, context: &Context) -> Option<Response> {
+pub(crate) fn check(worker: &Worker, context: &Context) -> Option<Response> {
     match worker.process.verdict(context.fingerprint) {
         Decision::Allow | Decision::Trial => None,
         Decision::Refuse(wait) => Some(refuse(worker, context, wait)),
@@ -23,8 +23,8 @@
 
 /// Refuses a quarantined request of which no attempt has run.
 pub(crate) fn refuse(worker: &Worker, context: &Context, wait: Duration) -> Response {
-    note(worker, context, "refused", wait);
-    refuse::held_back(&context.facts.request, wait)
+    log_decision(worker, context, "refused", wait);
+    refuse::quarantined(&context.facts.request, wait)
 }
 
 /// Acquires permission to send a request to a target, with a trial if it needs one. Returns `None`
@@ -32,7 +32,7 @@
 ///
 /// Called before every send except a transfer of a running run: a poison request crashes targets
 /// however it reaches them.
-pub(crate) async fn wait(worker: &Worker, context: &Context) -> Option<Duration> {
+pub(crate) async fn acquire(worker: &Worker, context: &Context) -> Option<Duration> {
     if context.has_trial.get() {
         return None;
     }
@@ -45,14 +45,14 @@
             let wait = worker.fleet.ask(Question::Trial(record), TRIAL_TIMEOUT).await;
             if wait.is_none() {
                 context.has_trial.set(true);
-                note(worker, context, "tried", Duration::ZERO);
+                log_decision(worker, context, "tried", Duration::ZERO);
             }
             wait
         }
     }
 }
 
-fn note(worker: &Worker, context: &Context, decision: &'static str, wait: Duration) {
+fn log_decision(worker: &Worker, context: &Context, decision: &'static str, wait: Duration) {
     worker.process.metrics.held(decision);
     log::info!(
         request = context.facts.request.as_str(), print:% = context.fingerprint, decision = decision,
--- a/crates/gateway/src/request/refuse.rs
+++ b/crates/gateway/src/request/refuse.rs
@@ -63,7 +63,7 @@
 }
 
 /// The request is quarantined: targets have crashed while they ran it.
-pub(crate) fn held_back(request: &SmolStr, after: Duration) -> Response {
+pub(crate) fn quarantined(request: &SmolStr, after: Duration) -> Response {
     let detail = "targets ended while they ran this request; change it, or come back as told";
     respond(request, problem(503, "ends-targets", detail, Ran::No, Some(after)))
 }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -12,7 +12,7 @@
 use crate::platform::Platform;
 use crate::process::lane::Pass;
 use crate::process::state::{Open, millis};
-use crate::request::admission::{self, Stop};
+use crate::request::admission::{self, Rejection};
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
 use crate::request::migration::{self, Backup};
 use crate::request::relay::Pump;
@@ -90,8 +90,8 @@
             let pass =
                 match admission::admit(self.worker, context, avoid.as_ref(), self.arrived).await {
                     Ok(pass) => pass,
-                    Err(Stop::Held(wait)) => return self.held_back(wait),
-                    Err(Stop::Refused(refusal)) => return self.refused(refusal),
+                    Err(Rejection::Quarantined(wait)) => return self.quarantined(wait),
+                    Err(Rejection::Refused(refusal)) => return self.refused(refusal),
                 };
             avoid = Some(pass.target().clone());
             self.note_placed(&pass);
@@ -147,7 +147,7 @@
         self.flying || self.doubtful
     }
 
-    fn held_back(&self, wait: Duration) -> Response {
+    fn quarantined(&self, wait: Duration) -> Response {
         match self.may_have_run() {
             true => refuse::lost(&self.context.facts.request),
             false => quarantine::refuse(self.worker, &self.context, wait),
