--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -18,55 +18,55 @@
 
 /// Why an attempt returned no answer that can be sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Ended {
+pub(crate) enum Error {
     /// Nothing was sent to the target.
-    Unsent(&'static str),
+    NotSent(&'static str),
     /// The target did not run the request.
-    Unrun(&'static str),
+    NotRun(&'static str),
     /// The target may have run the request.
     Unknown(&'static str),
 }
 
-impl Ended {
-    fn of(failure: &Failure) -> Self {
+impl Error {
+    fn from_failure(failure: &Failure) -> Self {
         match failure {
-            Failure::Unreached => Self::Unsent("unreached"),
+            Failure::Unreached => Self::NotSent("unreached"),
             Failure::Late => Self::Unknown("late"),
             Failure::Broken { .. } => Self::Unknown("broken"),
             Failure::Large => Self::Unknown("large"),
         }
     }
 
-    pub(crate) fn word(&self) -> &'static str {
+    pub(crate) fn reason(&self) -> &'static str {
         match self {
-            Self::Unsent(word) | Self::Unrun(word) | Self::Unknown(word) => word,
+            Self::NotSent(reason) | Self::NotRun(reason) | Self::Unknown(reason) => reason,
         }
     }
 
     /// Whether the target certainly did not run the request.
-    pub(crate) fn is_unrun(&self) -> bool {
+    pub(crate) fn did_not_run(&self) -> bool {
         !matches!(self, Self::Unknown(_))
     }
 
     /// Returns the outcome that the gate records for the target.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
-            Self::Unsent(CORDONED) => Outcome::Cancelled,
+            Self::NotSent(CORDONED) => Outcome::Cancelled,
             _ => Outcome::Failed,
         }
     }
 }
 
 /// An answer whose head has been received.
-pub(crate) struct Begun {
+pub(crate) struct Started {
     pub(crate) response: Response,
     /// When the request was sent.
-    pub(crate) sent: Time,
+    pub(crate) sent_at: Time,
 }
 
 /// What an attempt tells the target in addition to the request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Extra {
+pub(crate) struct Options {
     /// The engine that keeps a backup of the run's memory.
     pub(crate) backup: Option<SocketAddr>,
     /// The copy of a run's memory from which the target resumes the run.
@@ -79,89 +79,89 @@
 ///
 /// Records what the response says about the target: the limit that it advertises, and whether its
 /// address belongs to another instance by now.
-pub(crate) async fn begin<P: Platform>(
+pub(crate) async fn send<P: Platform>(
     worker: &Worker,
     context: &Context,
     target: &id::Target,
-    extra: &Extra,
-) -> Result<Begun, Ended> {
-    let began = worker.process.clock.now();
-    let result = exchange::<P>(worker, context, target, extra).await;
-    let elapsed = worker.process.clock.now().since(began);
-    if !result.as_ref().is_err_and(Ended::is_unrun) {
+    options: &Options,
+) -> Result<Started, Error> {
+    let started_at = worker.process.clock.now();
+    let result = try_send::<P>(worker, context, target, options).await;
+    let elapsed = worker.process.clock.now().since(started_at);
+    if !result.as_ref().is_err_and(Error::did_not_run) {
         context.has_trial.set(false);
     }
     let outcome = match &result {
-        Ok(begun) => begun.response.status.as_str().to_owned(),
-        Err(ended) => ended.word().to_owned(),
+        Ok(started) => started.response.status.as_str().to_owned(),
+        Err(error) => error.reason().to_owned(),
     };
     worker.process.metrics.attempt(match &result {
         Ok(_) => "answered",
-        Err(ended) => ended.word(),
+        Err(error) => error.reason(),
     });
     log::info!(
         request = context.facts.request.as_str(), target:% = target, outcome = outcome.as_str(),
         revision = context.table.text().revision, targets:% = worker.process.targets_position(),
-        resumed = extra.last_event.unwrap_or(0), copy = extra.copy.is_some(),
+        resumed = options.last_event.unwrap_or(0), copy = options.copy.is_some(),
         ms = millis(elapsed); "attempt"
     );
     result
 }
 
-async fn exchange<P: Platform>(
+async fn try_send<P: Platform>(
     worker: &Worker,
     context: &Context,
     id: &id::Target,
-    extra: &Extra,
-) -> Result<Begun, Ended> {
-    let Some(target) = worker.process.target(id) else { return Err(Ended::Unrun("gone")) };
+    options: &Options,
+) -> Result<Started, Error> {
+    let Some(target) = worker.process.target(id) else { return Err(Error::NotRun("gone")) };
     // The target may have been cordoned since the gate chose it.
     if worker.process.is_cordoned(&target) {
-        return Err(Ended::Unsent(CORDONED));
+        return Err(Error::NotSent(CORDONED));
     }
-    let left = context.time_left(worker.process.clock.now());
+    let time_left = context.time_left(worker.process.clock.now());
     let stamp = Stamp {
         instance: &target.instance,
-        left,
+        left: time_left,
         workspace: context.label.as_deref(),
-        backup: extra.backup,
-        copy: extra.copy.as_ref(),
-        last_event: extra.last_event.or(context.facts.last_event),
+        backup: options.backup,
+        copy: options.copy.as_ref(),
+        last_event: options.last_event.or(context.facts.last_event),
         urgency: URGENCY,
     };
     let outgoing = Outgoing {
         method: context.method.clone(),
         path: context.path.clone(),
-        headers: stamped::<P>(&context.headers, &stamp),
+        headers: stamp_headers::<P>(&context.headers, &stamp),
         body: context.body.clone(),
     };
-    let sent = worker.process.clock.now();
-    let response = exchange::send(target.address, outgoing, left).await;
+    let sent_at = worker.process.clock.now();
+    let response = exchange::send(target.address, outgoing, time_left).await;
     let response = response.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
-            liveness::Run::of(worker, context, &target, sent).spawn();
+            liveness::Run::of(worker, context, &target, sent_at).spawn();
         }
-        Ended::of(&failure)
+        Error::from_failure(&failure)
     })?;
     let reply = P::reply(response.status, &response.headers);
     if !reply.misdirected {
-        worker.process.note_limit(&target, sent, reply.limit);
+        worker.process.note_limit(&target, sent_at, reply.limit);
     }
     if reply.misdirected {
         worker.process.target_replaced(id);
-        return Err(Ended::Unrun("misdirected"));
+        return Err(Error::NotRun("misdirected"));
     }
     if reply.declined {
-        return Err(Ended::Unrun("declined"));
+        return Err(Error::NotRun("declined"));
     }
     // The connection may deliver a response to another request first.
     if reply.request.as_ref() != Some(&context.facts.request) {
-        return Err(Ended::Unknown("crossed"));
+        return Err(Error::Unknown("crossed"));
     }
-    Ok(Begun { response, sent })
+    Ok(Started { response, sent_at })
 }
 
-fn stamped<P: Platform>(headers: &HeaderMap, stamp: &Stamp<'_>) -> HeaderMap {
+fn stamp_headers<P: Platform>(headers: &HeaderMap, stamp: &Stamp<'_>) -> HeaderMap {
     let mut headers = headers.clone();
     P::stamp(&mut headers, stamp);
     headers
@@ -169,6 +169,6 @@
 
 /// Returns the time after which a caller may retry when every target declined: a fifth of the time
 /// left, within the 50 ms to 1 s in which targets free slots.
-pub(crate) fn come_back(left: Duration) -> Duration {
-    (left / 5).clamp(Duration::from_millis(50), Duration::from_secs(1))
+pub(crate) fn decline_retry_after(time_left: Duration) -> Duration {
+    (time_left / 5).clamp(Duration::from_millis(50), Duration::from_secs(1))
 }
--- a/crates/gateway/src/request/migration.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -21,7 +21,7 @@
 use crate::process::lane::Pass;
 use crate::process::state::millis;
 use crate::process::turn::Turn;
-use crate::request::attempt::{self, Begun, Ended, Extra};
+use crate::request::attempt::{self, Error, Options, Started};
 use crate::request::{Context, Worker, admission, quarantine, transfer};
 
 /// Minimum number of expected tokens for which an answer is backed up. Shorter answers end within
@@ -140,7 +140,7 @@
 /// An answer that has resumed at another engine.
 pub(crate) struct Arrived {
     pub(crate) to: id::Target,
-    pub(crate) begun: Begun,
+    pub(crate) started: Started,
     /// The memory counted for its copy, until the answer itself is counted at the new engine.
     pub(crate) kept: Option<Kept>,
 }
@@ -151,12 +151,12 @@
     worker: Worker,
     context: Rc<Context>,
     trip: Trip,
-) -> Result<Arrived, Ended> {
+) -> Result<Arrived, Error> {
     let word = trip.way.word();
     let result = travel::<P>(&worker, &context, trip).await;
     let outcome = match &result {
         Ok(_) => "arrived",
-        Err(ended) => ended.word(),
+        Err(error) => error.reason(),
     };
     worker.process.metrics.carried(if result.is_ok() { word } else { "failed" });
     log::info!(
@@ -169,17 +169,17 @@
     worker: &Worker,
     context: &Context,
     trip: Trip,
-) -> Result<Arrived, Ended> {
+) -> Result<Arrived, Error> {
     let request = &context.facts.request;
     let to = admission::within_limits(worker, trip.to).await;
     let Some(first) = to.first().cloned() else {
         // Without a pause all attempts would be used up before any engine accepts more.
         sleep(LIMITED_PAUSE).await;
-        return Err(Ended::Unrun("limited"));
+        return Err(Error::NotRun("limited"));
     };
     if !matches!(trip.way, Way::Move { .. }) && quarantine::acquire(worker, context).await.is_some()
     {
-        return Err(Ended::Unrun("held back"));
+        return Err(Error::NotRun("held back"));
     }
     match trip.way {
         Way::Switch => {
@@ -202,7 +202,7 @@
             let (last, copy) = (&trip.last, Some(moved.copy.clone()));
             let resumed = match resume::<P>(worker, context, &moved.to, copy.clone(), last).await {
                 // The source has stopped the run and still holds all of its memory.
-                Err(ended) if ended.is_unrun() => {
+                Err(error) if error.did_not_run() => {
                     worker.fleet.spend(&from.id);
                     resume::<P>(worker, context, &from, copy, last).await
                 }
@@ -222,11 +222,11 @@
     to: &Target,
     copy: Option<Copy>,
     last: &Cell<Option<u64>>,
-) -> Result<Arrived, Ended> {
-    let extra = Extra { backup: None, copy, last_event: last.get() };
-    let begun = attempt::begin::<P>(worker, context, &to.id, &extra).await?;
-    match begun.response.status {
-        StatusCode::OK => Ok(Arrived { to: to.id.clone(), begun, kept: None }),
-        _ => Err(Ended::Unknown("refused")),
+) -> Result<Arrived, Error> {
+    let options = Options { backup: None, copy, last_event: last.get() };
+    let started = attempt::send::<P>(worker, context, &to.id, &options).await?;
+    match started.response.status {
+        StatusCode::OK => Ok(Arrived { to: to.id.clone(), started, kept: None }),
+        _ => Err(Error::Unknown("refused")),
     }
 }
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -16,7 +16,7 @@
 use crate::platform::Platform;
 use crate::process::lane::Pass;
 use crate::request::admission::{self, Rejection};
-use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
+use crate::request::attempt::{self, Error, Options, Started, decline_retry_after};
 use crate::request::{Context, Worker, end_to_end, liveness, quarantine, refuse};
 
 /// Maximum size of an answer in bytes. Answers are buffered until they are complete, so that a
@@ -42,7 +42,7 @@
 /// The result of one attempt.
 struct Done {
     target: id::Target,
-    result: Result<Whole, Ended>,
+    result: Result<Whole, Error>,
 }
 
 /// Serves one request.
@@ -66,7 +66,7 @@
     match finished {
         Some(response) => response,
         None if run.unknown => refuse::late(request),
-        None => refuse::declined(request, come_back(left)),
+        None => refuse::declined(request, decline_retry_after(left)),
     }
 }
 
@@ -143,15 +143,15 @@
     /// Handles the result of an attempt. Returns the response to the caller if that is final;
     /// `last` is set if no other attempt is in flight.
     fn settle(&mut self, done: Done, last: bool) -> Option<Response> {
-        self.arrived |= !done.result.as_ref().is_err_and(Ended::is_unrun);
+        self.arrived |= !done.result.as_ref().is_err_and(Error::did_not_run);
         match done.result {
             Ok(whole) if whole.status.is_server_error() && self.is_safe() => {
                 self.kept = Some(whole);
                 None
             }
             Ok(whole) => Some(respond(whole)),
-            Err(Ended::Unsent(_) | Ended::Unrun(_)) => {
-                if matches!(done.result, Err(Ended::Unsent(_))) {
+            Err(Error::NotSent(_) | Error::NotRun(_)) => {
+                if matches!(done.result, Err(Error::NotSent(_))) {
                     // Nothing was sent, so this does not count as an attempt.
                     self.sent -= 1;
                     self.unreached += 1;
@@ -163,12 +163,12 @@
                 }
                 None
             }
-            Err(Ended::Unknown("late")) => Some(refuse::late(&self.context.facts.request)),
-            Err(Ended::Unknown(_)) if self.is_safe() => {
+            Err(Error::Unknown("late")) => Some(refuse::late(&self.context.facts.request)),
+            Err(Error::Unknown(_)) if self.is_safe() => {
                 self.doubtful = true;
                 None
             }
-            Err(Ended::Unknown(_)) => Some(refuse::lost(&self.context.facts.request)),
+            Err(Error::Unknown(_)) => Some(refuse::lost(&self.context.facts.request)),
         }
     }
 
@@ -185,7 +185,7 @@
             return quarantine::refuse(self.worker, self.context, wait);
         }
         let left = self.context.time_left(self.worker.process.clock.now());
-        let after = come_back(left);
+        let after = decline_retry_after(left);
         match self.refusal.take() {
             Some(refusal) => {
                 let retry_after = refusal.retry_after.min(after.max(Duration::from_millis(100)));
@@ -202,7 +202,7 @@
     let outcome = match &result {
         Ok(whole) if whole.status.is_server_error() => Outcome::ServerError,
         Ok(_) => Outcome::Whole,
-        Err(ended) => ended.outcome(),
+        Err(error) => error.outcome(),
     };
     pass.finish(outcome);
     if result.is_ok() {
@@ -215,15 +215,15 @@
     worker: &Worker,
     context: &Context,
     target: &id::Target,
-) -> Result<Whole, Ended> {
-    let listed = worker.process.target(target).ok_or(Ended::Unrun("gone"))?;
-    let begun = attempt::begin::<P>(worker, context, target, &Extra::default()).await?;
-    let Begun { mut response, sent } = begun;
+) -> Result<Whole, Error> {
+    let listed = worker.process.target(target).ok_or(Error::NotRun("gone"))?;
+    let started = attempt::send::<P>(worker, context, target, &Options::default()).await?;
+    let Started { mut response, sent_at } = started;
     let body = response.whole(MAX_ANSWER).await.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
-            liveness::Run::of(worker, context, &listed, sent).spawn();
+            liveness::Run::of(worker, context, &listed, sent_at).spawn();
         }
-        Ended::Unknown("cut")
+        Error::Unknown("cut")
     })?;
     Ok(Whole { status: response.status, headers: response.headers, body })
 }
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -22,7 +22,7 @@
 use crate::platform::Platform;
 use crate::process::lane::Pass;
 use crate::process::state::Open;
-use crate::request::attempt::{Begun, Ended};
+use crate::request::attempt::{Error, Started};
 use crate::request::migration::{self, Arrived, Backup, Trip, Way};
 use crate::request::sse::Splitter;
 use crate::request::{Context, Worker, liveness};
@@ -123,7 +123,7 @@
         context: Rc<Context>,
         pass: Pass,
         backup: Option<Backup>,
-        begun: Begun,
+        started: Started,
         runs: u32,
         open: Option<Open>,
     ) -> Body {
@@ -135,9 +135,9 @@
             context,
             pass,
             backup,
-            upstream: Some(begun.response),
+            upstream: Some(started.response),
             at,
-            sent: begun.sent,
+            sent: started.sent_at,
             splitter: Splitter::default(),
             last,
             events: 0,
@@ -310,15 +310,15 @@
         self.events * engine.map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
-    fn take(&mut self, arrived: Result<Arrived, Ended>) {
+    fn take(&mut self, arrived: Result<Arrived, Error>) {
         // If the migration failed, the old run continues for as long as it can.
         let Ok(arrived) = arrived else { return };
         self.pass.transfer(&arrived.to);
         drop(arrived.kept);
         // No new backup is made: it would compete for links over which other answers still migrate.
         self.backup = None;
-        self.upstream = Some(arrived.begun.response);
-        self.sent = arrived.begun.sent;
+        self.upstream = Some(arrived.started.response);
+        self.sent = arrived.started.sent_at;
         self.at = self.worker.process.target(&arrived.to);
         self.splitter = Splitter::default();
         self.switched = false;
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -13,7 +13,7 @@
 use crate::process::lane::Pass;
 use crate::process::state::{Open, millis};
 use crate::request::admission::{self, Rejection};
-use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
+use crate::request::attempt::{self, Error, Options, Started, decline_retry_after};
 use crate::request::migration::{self, Backup};
 use crate::request::relay::Pump;
 use crate::request::{Context, Worker, end_to_end, entries, liveness, quarantine, refuse};
@@ -47,7 +47,7 @@
     match finished {
         Some(response) => response,
         None if run.may_have_run() => refuse::late(&context.facts.request),
-        None => refuse::declined(&context.facts.request, come_back(left)),
+        None => refuse::declined(&context.facts.request, decline_retry_after(left)),
     }
 }
 
@@ -97,8 +97,8 @@
             self.note_placed(&pass);
             match self.attempt::<P>(pass).await {
                 Ok(response) => return response,
-                Err(ended) => {
-                    if let Some(response) = self.ended(&ended) {
+                Err(error) => {
+                    if let Some(response) = self.handle_failure(&error) {
                         return response;
                     }
                 }
@@ -120,25 +120,25 @@
     }
 
     /// Handles a failed attempt: returns the response to the caller, or `None` to try again.
-    fn ended(&mut self, ended: &Ended) -> Option<Response> {
+    fn handle_failure(&mut self, error: &Error) -> Option<Response> {
         let request = &self.context.facts.request;
         let more = self.sent < self.context.route.attempts.max(1);
         let left = self.context.time_left(self.worker.process.clock.now());
-        self.arrived |= !matches!(ended, Ended::Unsent(_));
+        self.arrived |= !matches!(error, Error::NotSent(_));
         self.flying = false;
-        self.doubtful |= !ended.is_unrun();
-        match ended {
-            Ended::Unsent(_) => {
+        self.doubtful |= !error.did_not_run();
+        match error {
+            Error::NotSent(_) => {
                 // Nothing was sent, so this does not count as an attempt.
                 self.sent -= 1;
                 None
             }
-            Ended::Unrun(_) if more => None,
-            Ended::Unrun(_) if self.doubtful => Some(refuse::lost(request)),
-            Ended::Unrun(_) => Some(refuse::declined(request, come_back(left))),
-            Ended::Unknown("late") => Some(refuse::late(request)),
-            Ended::Unknown(_) if self.context.route.kind.is_idempotent() && more => None,
-            Ended::Unknown(_) => Some(refuse::lost(request)),
+            Error::NotRun(_) if more => None,
+            Error::NotRun(_) if self.doubtful => Some(refuse::lost(request)),
+            Error::NotRun(_) => Some(refuse::declined(request, decline_retry_after(left))),
+            Error::Unknown("late") => Some(refuse::late(request)),
+            Error::Unknown(_) if self.context.route.kind.is_idempotent() && more => None,
+            Error::Unknown(_) => Some(refuse::lost(request)),
         }
     }
 
@@ -168,50 +168,51 @@
         refuse::refusal(&self.context.facts.request, &Refusal { retry_after, ..refusal })
     }
 
-    async fn attempt<P: Platform>(&mut self, pass: Pass) -> Result<Response, Ended> {
+    async fn attempt<P: Platform>(&mut self, pass: Pass) -> Result<Response, Error> {
         self.sent += 1;
         self.flying = true;
         self.worker.process.note_sent();
         let backup = Backup::choose(self.worker, &self.context, &pass, pass.target());
-        let extra = Extra { backup: backup.as_ref().map(Backup::address), ..Extra::default() };
-        let begun = attempt::begin::<P>(self.worker, &self.context, pass.target(), &extra).await;
-        let mut begun = match begun {
-            Ok(begun) => begun,
-            Err(ended) => {
-                pass.finish(ended.outcome());
-                return Err(ended);
+        let options =
+            Options { backup: backup.as_ref().map(Backup::address), ..Options::default() };
+        let started = attempt::send::<P>(self.worker, &self.context, pass.target(), &options).await;
+        let mut started = match started {
+            Ok(started) => started,
+            Err(error) => {
+                pass.finish(error.outcome());
+                return Err(error);
             }
         };
-        if begun.response.status != StatusCode::OK {
-            return self.other(pass, &mut begun).await;
+        if started.response.status != StatusCode::OK {
+            return self.other(pass, &mut started).await;
         }
-        let mut head = Response::build(begun.response.status);
-        for (name, value) in &end_to_end(&begun.response.headers) {
+        let mut head = Response::build(started.response.status);
+        for (name, value) in &end_to_end(&started.response.headers) {
             head.header(name.clone(), value.clone());
         }
         let (open, context, worker) =
             (self.open.take(), Rc::clone(&self.context), self.worker.clone());
-        let body = Pump::spawn::<P>(worker, context, pass, backup, begun, self.sent, open);
+        let body = Pump::spawn::<P>(worker, context, pass, backup, started, self.sent, open);
         Ok(head.streaming(body))
     }
 
     /// Forwards an answer that is not a stream, or fails if it is a server error that may be
     /// retried.
-    async fn other(&self, pass: Pass, begun: &mut Begun) -> Result<Response, Ended> {
-        let Begun { response, sent } = begun;
+    async fn other(&self, pass: Pass, started: &mut Started) -> Result<Response, Error> {
+        let Started { response, sent_at } = started;
         let failed = response.status.is_server_error();
         let listed = self.worker.process.target(pass.target());
         pass.finish(if failed { Outcome::ServerError } else { Outcome::Whole });
         let body = response.whole(MAX_ANSWER).await.map_err(|_| {
             if let Some(target) = &listed {
-                liveness::Run::of(self.worker, &self.context, target, *sent).spawn();
+                liveness::Run::of(self.worker, &self.context, target, *sent_at).spawn();
             }
-            Ended::Unknown("cut")
+            Error::Unknown("cut")
         })?;
         self.worker.process.note_whole(self.context.fingerprint);
         let more = self.sent < self.context.route.attempts;
         if failed && more && self.context.route.kind.is_idempotent() {
-            return Err(Ended::Unknown("failed"));
+            return Err(Error::Unknown("failed"));
         }
         let mut head = Response::build(response.status);
         for (name, value) in &end_to_end(&response.headers) {
--- a/crates/gateway/src/request/transfer.rs
+++ b/crates/gateway/src/request/transfer.rs
@@ -14,7 +14,7 @@
 use crate::connection::exchange::{self, Failure, Outgoing};
 use crate::platform::{Call, Copy, Moved, Platform};
 use crate::process::kept::Kept;
-use crate::request::attempt::Ended;
+use crate::request::attempt::Error;
 use crate::request::{Context, Worker};
 
 /// How long one transfer may take: a second for a full memory on an idle link, plus the time in the
@@ -100,17 +100,17 @@
     from: &Target,
     to: &[Target],
     held: Tokens,
-) -> Result<Relocated, Ended> {
-    let mut ended = Ended::Unrun("nowhere");
+) -> Result<Relocated, Error> {
+    let mut error = Error::NotRun("nowhere");
     for to in to.iter().take(MOVE_PLACES) {
         let kept = Kept::open(&worker.process, &to.id, held.get());
         match move_once::<P>(worker, context, from, to.address, false).await {
             Ok(name) => return move_rest::<P>(worker, context, from, to, name, kept).await,
-            Err(Ended::Unrun("no room")) => ended = Ended::Unrun("no room"),
+            Err(Error::NotRun("no room")) => error = Error::NotRun("no room"),
             Err(other) => return Err(other),
         }
     }
-    Err(ended)
+    Err(error)
 }
 
 /// Stops a run whose memory has been copied in part, and copies the rest.
@@ -121,7 +121,7 @@
     to: &Target,
     first: SmolStr,
     kept: Kept,
-) -> Result<Relocated, Ended> {
+) -> Result<Relocated, Error> {
     let call = Some(P::drop_copy(&first));
     let unused = Unused { call, from: from.address, to: to.address };
     let relocated = |name, unused| {
@@ -130,7 +130,7 @@
     };
     match move_once::<P>(worker, context, from, to.address, true).await {
         Ok(name) => Ok(relocated(name, unused)),
-        Err(Ended::Unknown("move broken")) => {
+        Err(Error::Unknown("move broken")) => {
             log::info!(request = context.facts.request.as_str(); "resuming from a partial copy");
             Ok(relocated(first, unused))
         }
@@ -151,7 +151,7 @@
     from: &Target,
     to: SocketAddr,
     last: bool,
-) -> Result<SmolStr, Ended> {
+) -> Result<SmolStr, Error> {
     for _ in 0..MOVE_TRIES {
         worker.fleet.spend(&from.id);
         let call = P::move_run(&context.facts.request, to, last);
@@ -160,14 +160,14 @@
         match P::moved(status, &body) {
             Moved::Copied { name } => return Ok(name),
             Moved::Busy => sleep(BUSY_PAUSE).await,
-            Moved::NoRun => return Err(Ended::Unknown("no run")),
-            Moved::Refused { .. } => return Err(Ended::Unrun("no room")),
+            Moved::NoRun => return Err(Error::Unknown("no run")),
+            Moved::Refused { .. } => return Err(Error::NotRun("no room")),
         }
     }
-    Err(Ended::Unknown("move busy"))
+    Err(Error::Unknown("move busy"))
 }
 
-fn broken(error: &Failure) -> Ended {
+fn broken(error: &Failure) -> Error {
     log::info!(error:% = error; "move broken");
-    Ended::Unknown("move broken")
+    Error::Unknown("move broken")
 }
