--- a/crates/gateway/src/process/metrics.rs
+++ b/crates/gateway/src/process/metrics.rs
@@ -12,7 +12,7 @@
 use prometheus::{Registry, TextEncoder};
 
 use crate::connection::traffic::Traffic;
-use crate::request::liveness::Fate;
+use crate::request::liveness::Status;
 
 /// Bounds of latency histograms in seconds, close together around the objectives in use.
 const BOUNDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.5, 1.0, 1.8, 5.0, 15.0, 60.0];
@@ -137,8 +137,8 @@
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    pub(crate) fn broken(&self, fate: Fate) {
-        self.broken.add(1, &[KeyValue::new("target", fate.to_string())]);
+    pub(crate) fn broken(&self, status: Status) {
+        self.broken.add(1, &[KeyValue::new("target", status.to_string())]);
     }
 
     pub(crate) fn limited(&self, why: Exclusion, decision: &'static str) {
--- a/crates/gateway/src/request/liveness.rs
+++ b/crates/gateway/src/request/liveness.rs
@@ -18,87 +18,89 @@
 
 /// The state of a target after a run on it was interrupted.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum Status {
     /// It accepts connections.
     #[display("lives")]
-    Lives,
+    Alive,
     /// It was known to be draining when the run was interrupted.
     #[display("leaving")]
-    Leaving,
+    Draining,
     /// It accepts no connections, or has restarted.
     #[display("ended")]
-    Ended,
+    Crashed,
 }
 
 /// A check of the target of an interrupted run.
 #[derive(Clone, Debug)]
-pub(crate) struct Run {
+pub(crate) struct Check {
     process: Arc<Process>,
     request: SmolStr,
-    print: Fingerprint,
+    fingerprint: Fingerprint,
     target: Target,
     /// When the request was sent to the target.
-    sent: Time,
+    sent_at: Time,
     /// Whether the target accepted new requests when the run was interrupted.
-    ready: bool,
+    was_ready: bool,
 }
 
-impl Run {
+impl Check {
     /// Prepares a check for a request that was sent at `sent_at` to a target, as it was listed
     /// then.
-    pub(crate) fn of(worker: &Worker, context: &Context, target: &Target, sent: Time) -> Self {
+    pub(crate) fn new(worker: &Worker, context: &Context, target: &Target, sent_at: Time) -> Self {
         let process = Arc::clone(&worker.process);
-        let ready = process.is_target_ready(&target.id);
-        let (request, print) = (context.facts.request.clone(), context.fingerprint);
-        Self { process, request, print, target: target.clone(), sent, ready }
+        let was_ready = process.is_target_ready(&target.id);
+        let (request, fingerprint) = (context.facts.request.clone(), context.fingerprint);
+        Self { process, request, fingerprint, target: target.clone(), sent_at, was_ready }
     }
 
     /// Checks the target in the background and records the result.
     pub(crate) fn spawn(self) {
-        let inspection = Inspection::open(&self.process, self.print);
-        let at = self.process.clock.now();
+        let inspection = Inspection::open(&self.process, self.fingerprint);
+        let interrupted_at = self.process.clock.now();
         ntex::rt::spawn(async move {
-            self.note(self.fate().await, at);
+            self.record(self.status().await, interrupted_at);
             drop(inspection);
         })
         .detach();
     }
 
     /// Records a crash that is already known, without a check.
-    pub(crate) fn ended(&self) {
-        self.note(Fate::Ended, self.process.clock.now());
+    pub(crate) fn record_crash(&self) {
+        self.record(Status::Crashed, self.process.clock.now());
     }
 
-    async fn fate(&self) -> Fate {
-        if !self.ready {
-            return Fate::Leaving;
+    async fn status(&self) -> Status {
+        if !self.was_ready {
+            return Status::Draining;
         }
-        match answers(self.target.address).await {
-            true => Fate::Lives,
-            false => Fate::Ended,
+        match accepts_connections(self.target.address).await {
+            true => Status::Alive,
+            false => Status::Crashed,
         }
     }
 
     /// Records the state of the target of a run that was interrupted at
     /// `interrupted_at`.
-    fn note(&self, fate: Fate, at: Time) {
-        let lasted = at.since(self.sent);
-        self.process.metrics.broken(fate);
-        let ends = match fate {
-            Fate::Ended => self.process.note_end(at, self.print, &self.target, lasted),
-            Fate::Lives => {
-                self.process.doubt(at, self.print, &self.target, lasted);
-                self.process.ends(self.print)
+    fn record(&self, status: Status, interrupted_at: Time) {
+        let run_time = interrupted_at.since(self.sent_at);
+        self.process.metrics.broken(status);
+        let crashes = match status {
+            Status::Crashed => {
+                self.process.note_end(interrupted_at, self.fingerprint, &self.target, run_time)
             }
-            Fate::Leaving => self.process.ends(self.print),
+            Status::Alive => {
+                self.process.doubt(interrupted_at, self.fingerprint, &self.target, run_time);
+                self.process.ends(self.fingerprint)
+            }
+            Status::Draining => self.process.ends(self.fingerprint),
         };
         log::info!(
-            request = self.request.as_str(), print:% = self.print, target:% = self.target.id,
-            fate:% = fate, lasted_ms = millis(lasted), ends = ends; "run broke off"
+            request = self.request.as_str(), print:% = self.fingerprint, target:% = self.target.id,
+            fate:% = status, lasted_ms = millis(run_time), ends = crashes; "run broke off"
         );
     }
 }
 
-async fn answers(address: SocketAddr) -> bool {
+async fn accepts_connections(address: SocketAddr) -> bool {
     matches!(timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await, Ok(Ok(_)))
 }
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -221,7 +221,7 @@
     let Started { mut response, sent_at } = started;
     let body = response.whole(MAX_ANSWER).await.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
-            liveness::Run::of(worker, context, &listed, sent_at).spawn();
+            liveness::Check::new(worker, context, &listed, sent_at).spawn();
         }
         Error::Unknown("cut")
     })?;
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -231,7 +231,7 @@
     fn broke_off(&mut self) {
         self.upstream = None;
         if let Some(at) = &self.at {
-            liveness::Run::of(&self.worker, &self.context, at, self.sent).spawn();
+            liveness::Check::new(&self.worker, &self.context, at, self.sent).spawn();
         }
     }
 
@@ -349,7 +349,7 @@
             );
             self.upstream = None;
             if let Some(at) = self.at.take() {
-                liveness::Run::of(&self.worker, &self.context, &at, self.sent).ended();
+                liveness::Check::new(&self.worker, &self.context, &at, self.sent).record_crash();
             }
         }
     }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -205,7 +205,7 @@
         pass.finish(if failed { Outcome::ServerError } else { Outcome::Whole });
         let body = response.whole(MAX_ANSWER).await.map_err(|_| {
             if let Some(target) = &listed {
-                liveness::Run::of(self.worker, &self.context, target, *sent_at).spawn();
+                liveness::Check::new(self.worker, &self.context, target, *sent_at).spawn();
             }
             Error::Unknown("cut")
         })?;
