--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -20,81 +20,83 @@
 
 /// Divisor of the time that a refused caller has left: it is told to retry after at most this part
 /// of it, since it needs the rest for the answer.
-const COME_BACK_PART: u32 = 3;
+const RETRY_AFTER_DIVISOR: u32 = 3;
 
 /// Maximum size in bytes of an answer that is not a stream: such an answer is an engine's error.
-const MAX_ANSWER: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// Serves one generation; its answer is relayed after this returns.
 pub(crate) async fn serve<P: Platform>(worker: &Worker, context: Context, open: Open) -> Response {
     let context = Rc::new(context);
     if migration::is_long(&context)
-        && let Some(after) = sent_away(worker, &context)
+        && let Some(after) = drain_retry_after(worker, &context)
     {
         return refuse::leaving(&context.facts.request, after);
     }
-    let left = context.time_left(worker.process.clock.now());
-    let mut run = Run {
+    let time_left = context.time_left(worker.process.clock.now());
+    let mut dispatch = Dispatch {
         worker,
         context: Rc::clone(&context),
         open: Some(open),
-        sent: 0,
-        arrived: false,
-        flying: false,
-        doubtful: false,
+        attempts: 0,
+        reached_target: false,
+        in_flight: false,
+        outcome_unknown: false,
     };
-    let finished = timeout(left, run.play::<P>()).await.ok();
+    let finished = timeout(time_left, dispatch.run::<P>()).await.ok();
     match finished {
         Some(response) => response,
-        None if run.may_have_run() => refuse::late(&context.facts.request),
-        None => refuse::declined(&context.facts.request, decline_retry_after(left)),
+        None if dispatch.may_have_run() => refuse::late(&context.facts.request),
+        None => refuse::declined(&context.facts.request, decline_retry_after(time_left)),
     }
 }
 
 /// Returns when to retry if this entry is draining and the answer would not end before it stops.
-fn sent_away(worker: &Worker, context: &Context) -> Option<Duration> {
-    let (since, left) = worker.process.leaving()?;
+fn drain_retry_after(worker: &Worker, context: &Context) -> Option<Duration> {
+    let (since, time_left) = worker.process.leaving()?;
     let others = worker.fleet.has_others();
-    let situation = State {
+    let state = State {
         peers_accept: others,
         draining_for: since,
-        remaining: left,
+        remaining: time_left,
         address_ttl: entries::TTL,
     };
-    match shutdown::decide(&situation, migration::expected(context)) {
+    match shutdown::decide(&state, migration::expected(context)) {
         Decision::Serve => None,
         Decision::RetryAfter(after) => Some(after),
     }
 }
 
 /// The progress of one generation until its answer begins.
-struct Run<'a> {
+struct Dispatch<'a> {
     worker: &'a Worker,
     context: Rc<Context>,
     open: Option<Open>,
     /// Number of attempts that were sent.
-    sent: u32,
+    attempts: u32,
     /// Whether an attempt may have reached a target.
-    arrived: bool,
+    reached_target: bool,
     /// Whether an attempt is in flight.
-    flying: bool,
+    in_flight: bool,
     /// Whether an attempt ended without it being known whether it ran.
-    doubtful: bool,
+    outcome_unknown: bool,
 }
 
-impl Run<'_> {
-    async fn play<P: Platform>(&mut self) -> Response {
+impl Dispatch<'_> {
+    async fn run<P: Platform>(&mut self) -> Response {
         let mut avoid: Option<id::Target> = None;
         loop {
             let context = &self.context;
             let pass =
-                match admission::admit(self.worker, context, avoid.as_ref(), self.arrived).await {
+                match admission::admit(self.worker, context, avoid.as_ref(), self.reached_target)
+                    .await
+                {
                     Ok(pass) => pass,
                     Err(Rejection::Quarantined(wait)) => return self.quarantined(wait),
                     Err(Rejection::Refused(refusal)) => return self.refused(refusal),
                 };
             avoid = Some(pass.target().clone());
-            self.note_placed(&pass);
+            self.log_placement(&pass);
             match self.attempt::<P>(pass).await {
                 Ok(response) => return response,
                 Err(error) => {
@@ -107,35 +109,35 @@
     }
 
     /// Logs why the gate chose a target, so that a late start can be explained.
-    fn note_placed(&self, pass: &Pass) {
+    fn log_placement(&self, pass: &Pass) {
         let (context, process) = (&self.context, &self.worker.process);
-        let Some(grounds) = pass.grounds() else { return };
+        let Some(placement) = pass.grounds() else { return };
         log::info!(
             request = context.facts.request.as_str(), target:% = pass.target(),
             waited_ms = millis(process.clock.now().since(context.first_sent_at)),
             objective_ms = millis(context.route.objective),
-            load:% = format_args!("{:.2}", grounds.load), streams = grounds.streams,
-            unread:% = grounds.unread, view_ms = millis(grounds.age), late = grounds.late; "placed"
+            load:% = format_args!("{:.2}", placement.load), streams = placement.streams,
+            unread:% = placement.unread, view_ms = millis(placement.age), late = placement.late; "placed"
         );
     }
 
     /// Handles a failed attempt: returns the response to the caller, or `None` to try again.
     fn handle_failure(&mut self, error: &Error) -> Option<Response> {
         let request = &self.context.facts.request;
-        let more = self.sent < self.context.route.attempts.max(1);
-        let left = self.context.time_left(self.worker.process.clock.now());
-        self.arrived |= !matches!(error, Error::NotSent(_));
-        self.flying = false;
-        self.doubtful |= !error.did_not_run();
+        let more = self.attempts < self.context.route.attempts.max(1);
+        let time_left = self.context.time_left(self.worker.process.clock.now());
+        self.reached_target |= !matches!(error, Error::NotSent(_));
+        self.in_flight = false;
+        self.outcome_unknown |= !error.did_not_run();
         match error {
             Error::NotSent(_) => {
                 // Nothing was sent, so this does not count as an attempt.
-                self.sent -= 1;
+                self.attempts -= 1;
                 None
             }
             Error::NotRun(_) if more => None,
-            Error::NotRun(_) if self.doubtful => Some(refuse::lost(request)),
-            Error::NotRun(_) => Some(refuse::declined(request, decline_retry_after(left))),
+            Error::NotRun(_) if self.outcome_unknown => Some(refuse::lost(request)),
+            Error::NotRun(_) => Some(refuse::declined(request, decline_retry_after(time_left))),
             Error::Unknown("late") => Some(refuse::late(request)),
             Error::Unknown(_) if self.context.route.kind.is_idempotent() && more => None,
             Error::Unknown(_) => Some(refuse::lost(request)),
@@ -144,7 +146,7 @@
 
     /// Whether an attempt may have run, in which case a refusal must not say that none has.
     fn may_have_run(&self) -> bool {
-        self.flying || self.doubtful
+        self.in_flight || self.outcome_unknown
     }
 
     fn quarantined(&self, wait: Duration) -> Response {
@@ -163,14 +165,14 @@
             .fleet
             .share_refused(self.context.fingerprint, now.since(self.context.first_sent_at));
         // The caller needs the rest of its time for the answer.
-        let most = self.context.time_left(now) / COME_BACK_PART;
-        let retry_after = refusal.retry_after.min(most);
+        let max = self.context.time_left(now) / RETRY_AFTER_DIVISOR;
+        let retry_after = refusal.retry_after.min(max);
         refuse::refusal(&self.context.facts.request, &Refusal { retry_after, ..refusal })
     }
 
     async fn attempt<P: Platform>(&mut self, pass: Pass) -> Result<Response, Error> {
-        self.sent += 1;
-        self.flying = true;
+        self.attempts += 1;
+        self.in_flight = true;
         self.worker.process.note_sent();
         let backup = Backup::choose(self.worker, &self.context, &pass, pass.target());
         let options =
@@ -184,7 +186,7 @@
             }
         };
         if started.response.status != StatusCode::OK {
-            return self.other(pass, &mut started).await;
+            return self.forward_unstreamed(pass, &mut started).await;
         }
         let mut head = Response::build(started.response.status);
         for (name, value) in &end_to_end(&started.response.headers) {
@@ -192,26 +194,30 @@
         }
         let (open, context, worker) =
             (self.open.take(), Rc::clone(&self.context), self.worker.clone());
-        let body = Pump::spawn::<P>(worker, context, pass, backup, started, self.sent, open);
+        let body = Pump::spawn::<P>(worker, context, pass, backup, started, self.attempts, open);
         Ok(head.streaming(body))
     }
 
     /// Forwards an answer that is not a stream, or fails if it is a server error that may be
     /// retried.
-    async fn other(&self, pass: Pass, started: &mut Started) -> Result<Response, Error> {
+    async fn forward_unstreamed(
+        &self,
+        pass: Pass,
+        started: &mut Started,
+    ) -> Result<Response, Error> {
         let Started { response, sent_at } = started;
-        let failed = response.status.is_server_error();
+        let server_error = response.status.is_server_error();
         let listed = self.worker.process.target(pass.target());
-        pass.finish(if failed { Outcome::ServerError } else { Outcome::Whole });
-        let body = response.whole(MAX_ANSWER).await.map_err(|_| {
+        pass.finish(if server_error { Outcome::ServerError } else { Outcome::Whole });
+        let body = response.whole(MAX_ANSWER_BYTES).await.map_err(|_| {
             if let Some(target) = &listed {
                 liveness::Check::new(self.worker, &self.context, target, *sent_at).spawn();
             }
             Error::Unknown("cut")
         })?;
         self.worker.process.note_whole(self.context.fingerprint);
-        let more = self.sent < self.context.route.attempts;
-        if failed && more && self.context.route.kind.is_idempotent() {
+        let more = self.attempts < self.context.route.attempts;
+        if server_error && more && self.context.route.kind.is_idempotent() {
             return Err(Error::Unknown("failed"));
         }
         let mut head = Response::build(response.status);
