--- a/crates/gateway/src/request/migration.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -27,7 +27,7 @@
 /// Minimum number of expected tokens for which an answer is backed up. Shorter answers end within
 /// the notice that engines give before they stop, so their backup would never be used: at 57 ms a
 /// token they take less than four seconds, at the engines' usual speed far less.
-pub(crate) const WORTH_A_COPY: u64 = 64;
+pub(crate) const MIN_BACKUP_TOKENS: u64 = 64;
 
 /// Fraction of an engine's memory that backups leave free for answers.
 ///
@@ -39,24 +39,24 @@
 const BACKUP_RESERVE: f64 = 0.65;
 
 /// Delay before the next attempt to migrate when every engine is at its limit.
-const LIMITED_PAUSE: Duration = Duration::from_millis(150);
+const LIMITED_DELAY: Duration = Duration::from_millis(150);
 
 /// Whether an answer is expected to take longer than the notice that an engine or an entry gives
 /// before it stops.
 pub(crate) fn is_long(context: &Context) -> bool {
-    expected(context).get() >= WORTH_A_COPY
+    expected_tokens(context).get() >= MIN_BACKUP_TOKENS
 }
 
 /// Returns the expected length of an answer: the caller's estimate, or else the maximum that it
 /// requested.
-pub(crate) fn expected(context: &Context) -> Tokens {
+pub(crate) fn expected_tokens(context: &Context) -> Tokens {
     context.facts.guess.unwrap_or(context.facts.limit)
 }
 
 /// A copy of an answer's memory that another engine keeps up to date while the answer grows.
 #[derive(Debug)]
 pub(crate) struct Backup {
-    kept: Kept,
+    reservation: Kept,
     listed: Target,
 }
 
@@ -67,22 +67,22 @@
         worker: &Worker,
         context: &Context,
         pass: &Pass,
-        at: &id::Target,
+        current: &id::Target,
     ) -> Option<Self> {
         let backups = context.service.engine.as_ref().is_some_and(|engine| engine.backups);
         if !backups || !is_long(context) {
             return None;
         }
-        let near = worker.process.neighbours(at);
-        let refuges = pass.refuges(&near, Some(BACKUP_RESERVE));
-        let refuge = refuges.into_iter().find(|refuge| refuge != at)?;
-        let target = worker.process.target(&refuge)?;
-        let kept = Kept::open(&worker.process, &target.id, context.facts.prompt.get());
-        Some(Self { kept, listed: target })
+        let neighbours = worker.process.neighbours(current);
+        let candidates = pass.refuges(&neighbours, Some(BACKUP_RESERVE));
+        let candidate = candidates.into_iter().find(|candidate| candidate != current)?;
+        let target = worker.process.target(&candidate)?;
+        let reservation = Kept::open(&worker.process, &target.id, context.facts.prompt.get());
+        Some(Self { reservation, listed: target })
     }
 
     pub(crate) fn target(&self) -> &id::Target {
-        self.kept.target()
+        self.reservation.target()
     }
 
     pub(crate) fn address(&self) -> SocketAddr {
@@ -96,122 +96,126 @@
 
     /// Sets the number of tokens that the backup holds now.
     pub(crate) fn grow(&mut self, tokens: u64) {
-        self.kept.grow(tokens);
+        self.reservation.grow(tokens);
     }
 }
 
 /// How an answer resumes at another engine.
 #[derive(Clone, Debug)]
-pub(crate) enum Way {
+pub(crate) enum Strategy {
     /// From the backup that the next engine keeps.
-    Switch,
+    Backup,
     /// From its memory, which is transferred from the current engine.
-    Move {
+    Transfer {
         /// The engine that runs it now.
         from: Target,
         /// Number of tokens that it is expected to produce from now on.
-        left: Tokens,
+        remaining: Tokens,
         /// Number of tokens in its memory.
-        held: Tokens,
+        memory: Tokens,
     },
     /// By a new run that continues after the last event.
-    Again,
+    Restart,
 }
 
-impl Way {
-    pub(crate) fn word(&self) -> &'static str {
+impl Strategy {
+    pub(crate) fn label(&self) -> &'static str {
         match self {
-            Self::Switch => "switch",
-            Self::Move { .. } => "move",
-            Self::Again => "again",
+            Self::Backup => "switch",
+            Self::Transfer { .. } => "move",
+            Self::Restart => "again",
         }
     }
 }
 
 /// One attempt to migrate an answer.
-pub(crate) struct Trip {
-    pub(crate) way: Way,
+pub(crate) struct Plan {
+    pub(crate) strategy: Strategy,
     /// Engines that may run it, the best first.
-    pub(crate) to: Vec<Target>,
+    pub(crate) candidates: Vec<Target>,
     /// The id of the last event sent to the caller, which grows while a transfer is in progress.
-    pub(crate) last: Rc<Cell<Option<u64>>>,
+    pub(crate) last_event: Rc<Cell<Option<u64>>>,
 }
 
 /// An answer that has resumed at another engine.
-pub(crate) struct Arrived {
-    pub(crate) to: id::Target,
+pub(crate) struct Resumed {
+    pub(crate) target: id::Target,
     pub(crate) started: Started,
     /// The memory counted for its copy, until the answer itself is counted at the new engine.
-    pub(crate) kept: Option<Kept>,
+    pub(crate) reservation: Option<Kept>,
 }
 
 /// Migrates an answer to the next engine. The old run continues until this returns, except during
 /// the final step of a transfer.
-pub(crate) async fn go<P: Platform>(
+pub(crate) async fn migrate<P: Platform>(
     worker: Worker,
     context: Rc<Context>,
-    trip: Trip,
-) -> Result<Arrived, Error> {
-    let word = trip.way.word();
-    let result = travel::<P>(&worker, &context, trip).await;
+    plan: Plan,
+) -> Result<Resumed, Error> {
+    let label = plan.strategy.label();
+    let result = try_migrate::<P>(&worker, &context, plan).await;
     let outcome = match &result {
         Ok(_) => "arrived",
         Err(error) => error.reason(),
     };
-    worker.process.metrics.carried(if result.is_ok() { word } else { "failed" });
+    worker.process.metrics.carried(if result.is_ok() { label } else { "failed" });
     log::info!(
-        request = context.facts.request.as_str(), way = word, outcome = outcome; "carried on"
+        request = context.facts.request.as_str(), way = label, outcome = outcome; "carried on"
     );
     result
 }
 
-async fn travel<P: Platform>(
+async fn try_migrate<P: Platform>(
     worker: &Worker,
     context: &Context,
-    trip: Trip,
-) -> Result<Arrived, Error> {
+    plan: Plan,
+) -> Result<Resumed, Error> {
     let request = &context.facts.request;
-    let to = admission::within_limits(worker, trip.to).await;
-    let Some(first) = to.first().cloned() else {
+    let candidates = admission::within_limits(worker, plan.candidates).await;
+    let Some(first) = candidates.first().cloned() else {
         // Without a pause all attempts would be used up before any engine accepts more.
-        sleep(LIMITED_PAUSE).await;
+        sleep(LIMITED_DELAY).await;
         return Err(Error::NotRun("limited"));
     };
-    if !matches!(trip.way, Way::Move { .. }) && quarantine::acquire(worker, context).await.is_some()
+    if !matches!(plan.strategy, Strategy::Transfer { .. })
+        && quarantine::acquire(worker, context).await.is_some()
     {
         return Err(Error::NotRun("held back"));
     }
-    match trip.way {
-        Way::Switch => {
+    match plan.strategy {
+        Strategy::Backup => {
             let copy = Copy { at: first.address, name: request.clone() };
-            resume::<P>(worker, context, &first, Some(copy), &trip.last).await
+            resume::<P>(worker, context, &first, Some(copy), &plan.last_event).await
         }
-        Way::Move { from, left, held } => {
-            let began = worker.process.clock.now();
-            let turn = Turn::wait(&worker.fleet, &from.id, request, left).await;
-            let turned = worker.process.clock.now();
-            let moved = transfer::move_run::<P>(worker, context, &from, &to, held).await;
+        Strategy::Transfer { from, remaining, memory } => {
+            let queued_at = worker.process.clock.now();
+            let turn = Turn::wait(&worker.fleet, &from.id, request, remaining).await;
+            let turn_at = worker.process.clock.now();
+            let transferred =
+                transfer::transfer_run::<P>(worker, context, &from, &candidates, memory).await;
             log::info!(
-                request = request.as_str(), from:% = from.id, left:% = left,
-                waited_ms = millis(turned.since(began)),
-                moved_ms = millis(worker.process.clock.now().since(turned)); "moved"
+                request = request.as_str(), from:% = from.id, left:% = remaining,
+                waited_ms = millis(turn_at.since(queued_at)),
+                moved_ms = millis(worker.process.clock.now().since(turn_at)); "moved"
             );
-            let moved = moved?;
+            let transferred = transferred?;
             // The rest of the migration does not use the link between the two engines.
             drop(turn);
-            let (last, copy) = (&trip.last, Some(moved.copy.clone()));
-            let resumed = match resume::<P>(worker, context, &moved.to, copy.clone(), last).await {
-                // The source has stopped the run and still holds all of its memory.
-                Err(error) if error.did_not_run() => {
-                    worker.fleet.spend(&from.id);
-                    resume::<P>(worker, context, &from, copy, last).await
-                }
-                result => result,
-            };
-            let kept = resumed.is_ok().then(|| moved.used());
-            resumed.map(|arrived| Arrived { kept, ..arrived })
+            let (last_event, copy) = (&plan.last_event, Some(transferred.copy.clone()));
+            let resumed =
+                match resume::<P>(worker, context, &transferred.to, copy.clone(), last_event).await
+                {
+                    // The source has stopped the run and still holds all of its memory.
+                    Err(error) if error.did_not_run() => {
+                        worker.fleet.spend(&from.id);
+                        resume::<P>(worker, context, &from, copy, last_event).await
+                    }
+                    result => result,
+                };
+            let reservation = resumed.is_ok().then(|| transferred.keep());
+            resumed.map(|resumed| Resumed { reservation, ..resumed })
         }
-        Way::Again => resume::<P>(worker, context, &first, None, &trip.last).await,
+        Strategy::Restart => resume::<P>(worker, context, &first, None, &plan.last_event).await,
     }
 }
 
@@ -221,12 +225,12 @@
     context: &Context,
     to: &Target,
     copy: Option<Copy>,
-    last: &Cell<Option<u64>>,
-) -> Result<Arrived, Error> {
-    let options = Options { backup: None, copy, last_event: last.get() };
+    last_event: &Cell<Option<u64>>,
+) -> Result<Resumed, Error> {
+    let options = Options { backup: None, copy, last_event: last_event.get() };
     let started = attempt::send::<P>(worker, context, &to.id, &options).await?;
     match started.response.status {
-        StatusCode::OK => Ok(Arrived { to: to.id.clone(), started, kept: None }),
+        StatusCode::OK => Ok(Resumed { target: to.id.clone(), started, reservation: None }),
         _ => Err(Error::Unknown("refused")),
     }
 }
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -23,7 +23,7 @@
 use crate::process::lane::Pass;
 use crate::process::state::Open;
 use crate::request::attempt::{Error, Started};
-use crate::request::migration::{self, Arrived, Backup, Trip, Way};
+use crate::request::migration::{self, Backup, Plan, Resumed, Strategy};
 use crate::request::sse::Splitter;
 use crate::request::{Context, Worker, liveness};
 
@@ -194,10 +194,10 @@
         loop {
             if !under_way && (silent || self.wants_to_go()) {
                 silent = false;
-                match self.trip() {
-                    Some(trip) => {
+                match self.plan() {
+                    Some(plan) => {
                         let (worker, context) = (self.worker.clone(), Rc::clone(&self.context));
-                        carrying.set(migration::go::<P>(worker, context, trip).fuse());
+                        carrying.set(migration::migrate::<P>(worker, context, plan).fuse());
                         under_way = true;
                     }
                     None if self.upstream.is_none() => return End::Cut,
@@ -208,9 +208,9 @@
                 biased;
                 () = &mut gone => return End::Left,
                 () = &mut deadline => return End::Late,
-                arrived = &mut carrying, if under_way => {
+                resumed = &mut carrying, if under_way => {
                     under_way = false;
-                    self.take(arrived);
+                    self.take(resumed);
                 }
                 chunk = next(&mut self.upstream) => match chunk {
                     Some(bytes) => {
@@ -248,35 +248,39 @@
     /// Whether the answer should finish where it is: it is expected to end within the notice that
     /// its engine gives, and if it does not, another run can continue after its last event.
     fn may_stay(&self) -> bool {
-        let long = migration::is_long(&self.context) || self.produced() >= migration::WORTH_A_COPY;
+        let long =
+            migration::is_long(&self.context) || self.produced() >= migration::MIN_BACKUP_TOKENS;
         self.context.route.kind.is_idempotent() && !long
     }
 
     /// Returns the next migration to try, or `None` if there is none.
-    fn trip(&mut self) -> Option<Trip> {
+    fn plan(&mut self) -> Option<Plan> {
         if self.trips >= TRIPS {
             return None;
         }
         let engine = self.context.service.engine.as_ref()?;
         let (moves, resumable) = (engine.moves, self.context.route.kind.is_idempotent());
         let process = &self.worker.process;
-        let (way, to) = if let Some(backup) = self.backup.take_if(|_| !self.switched) {
+        let (strategy, candidates) = if let Some(backup) = self.backup.take_if(|_| !self.switched) {
             self.switched = true;
-            (Way::Switch, vec![process.target(backup.target())?])
+            (Strategy::Backup, vec![process.target(backup.target())?])
         } else if self.upstream.is_some() && moves {
             let from = process.target(self.pass.target())?;
-            (Way::Move { from, left: self.left(), held: self.held() }, self.refuges())
+            (
+                Strategy::Transfer { from, remaining: self.left(), memory: self.held() },
+                self.refuges(),
+            )
         } else if self.upstream.is_none() && resumable && self.may_run_again() {
             self.runs += 1;
-            (Way::Again, self.refuges())
+            (Strategy::Restart, self.refuges())
         } else {
             return None;
         };
-        if to.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         self.trips += 1;
-        Some(Trip { way, to, last: Rc::clone(&self.last) })
+        Some(Plan { strategy, candidates, last_event: Rc::clone(&self.last) })
     }
 
     /// Whether the route and the retry budget allow one more run.
@@ -296,7 +300,7 @@
     /// tend to continue.
     fn left(&self) -> Tokens {
         let produced = self.produced();
-        let guess = migration::expected(&self.context).get();
+        let guess = migration::expected_tokens(&self.context).get();
         Tokens::new(guess.saturating_sub(produced).max(produced / 3))
     }
 
@@ -310,16 +314,16 @@
         self.events * engine.map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
-    fn take(&mut self, arrived: Result<Arrived, Error>) {
+    fn take(&mut self, resumed: Result<Resumed, Error>) {
         // If the migration failed, the old run continues for as long as it can.
-        let Ok(arrived) = arrived else { return };
-        self.pass.transfer(&arrived.to);
-        drop(arrived.kept);
+        let Ok(resumed) = resumed else { return };
+        self.pass.transfer(&resumed.target);
+        drop(resumed.reservation);
         // No new backup is made: it would compete for links over which other answers still migrate.
         self.backup = None;
-        self.upstream = Some(arrived.started.response);
-        self.sent = arrived.started.sent_at;
-        self.at = self.worker.process.target(&arrived.to);
+        self.upstream = Some(resumed.started.response);
+        self.sent = resumed.started.sent_at;
+        self.at = self.worker.process.target(&resumed.target);
         self.splitter = Splitter::default();
         self.switched = false;
     }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -61,7 +61,7 @@
         remaining: time_left,
         address_ttl: entries::TTL,
     };
-    match shutdown::decide(&state, migration::expected(context)) {
+    match shutdown::decide(&state, migration::expected_tokens(context)) {
         Decision::Serve => None,
         Decision::RetryAfter(after) => Some(after),
     }
--- a/crates/gateway/src/request/transfer.rs
+++ b/crates/gateway/src/request/transfer.rs
@@ -19,41 +19,41 @@
 
 /// How long one transfer may take: a second for a full memory on an idle link, plus the time in the
 /// engine's queue.
-const MOVE_TIMEOUT: Duration = Duration::from_secs(4);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Delay before the next try while another call for the same run is in progress.
-const BUSY_PAUSE: Duration = Duration::from_millis(40);
+const BUSY_DELAY: Duration = Duration::from_millis(40);
 
 /// Maximum number of tries of one transfer.
-const MOVE_TRIES: u32 = 8;
+const MAX_TRIES: u32 = 8;
 
 /// Maximum number of engines that are asked to take one answer before it queues for its turn again.
 /// A refusal takes a round trip of about 2 ms, a turn 200 ms.
-const MOVE_PLACES: usize = 8;
+const MAX_DESTINATIONS: usize = 8;
 
 /// Maximum size of a reply to a transfer call, in bytes.
-const MAX_REPLY: usize = 64 << 10;
+const MAX_REPLY_BYTES: usize = 64 << 10;
 
 /// How long a call that frees a copy may take.
-const DROP_TIMEOUT: Duration = Duration::from_secs(1);
+const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A run's memory at the engine that is to resume it.
-pub(crate) struct Relocated {
+pub(crate) struct Transferred {
     /// The engine that holds the copy.
     pub(crate) to: Target,
     /// The copy.
     pub(crate) copy: Copy,
     /// The memory counted for the copy.
-    kept: Kept,
+    reservation: Kept,
     /// Frees the copy unless the run resumes from it.
-    unused: Unused,
+    cleanup: Cleanup,
 }
 
-impl Relocated {
+impl Transferred {
     /// Keeps the copy, from which the run has resumed; returns the memory counted for it.
-    pub(crate) fn used(mut self) -> Kept {
-        self.unused.call = None;
-        self.kept
+    pub(crate) fn keep(mut self) -> Kept {
+        self.cleanup.call = None;
+        self.reservation
     }
 }
 
@@ -62,13 +62,13 @@
 /// An answer may end, or its caller disconnect, while its memory is being transferred. The copy
 /// would occupy memory and a slot at the other engine for seconds, and that engine would refuse
 /// answers that must leave their own.
-struct Unused {
+struct Cleanup {
     call: Option<Call>,
     from: SocketAddr,
     to: SocketAddr,
 }
 
-impl Drop for Unused {
+impl Drop for Cleanup {
     fn drop(&mut self) {
         let Some(call) = self.call.take() else { return };
         ntex::rt::spawn(free(call, self.from, self.to)).detach();
@@ -78,9 +78,9 @@
 /// Frees a copy at both engines by a call to the engine that made it or, if that fails, at the
 /// engine that received it.
 async fn free(call: Call, from: SocketAddr, to: SocketAddr) {
-    let freed = exchange::call(from, outgoing(call.clone()), DROP_TIMEOUT, MAX_REPLY).await;
+    let freed = exchange::call(from, outgoing(call.clone()), FREE_TIMEOUT, MAX_REPLY_BYTES).await;
     let freed = match freed {
-        Err(_) => exchange::call(to, outgoing(call), DROP_TIMEOUT, MAX_REPLY).await,
+        Err(_) => exchange::call(to, outgoing(call), FREE_TIMEOUT, MAX_REPLY_BYTES).await,
         freed => freed,
     };
     match freed {
@@ -94,18 +94,20 @@
 /// If the engine is lost between the two steps, the run resumes from the first copy and the next
 /// engine recomputes what is missing. Otherwise an answer would be cut although most of its memory
 /// had been transferred.
-pub(crate) async fn move_run<P: Platform>(
+pub(crate) async fn transfer_run<P: Platform>(
     worker: &Worker,
     context: &Context,
     from: &Target,
     to: &[Target],
-    held: Tokens,
-) -> Result<Relocated, Error> {
+    memory: Tokens,
+) -> Result<Transferred, Error> {
     let mut error = Error::NotRun("nowhere");
-    for to in to.iter().take(MOVE_PLACES) {
-        let kept = Kept::open(&worker.process, &to.id, held.get());
-        match move_once::<P>(worker, context, from, to.address, false).await {
-            Ok(name) => return move_rest::<P>(worker, context, from, to, name, kept).await,
+    for to in to.iter().take(MAX_DESTINATIONS) {
+        let reservation = Kept::open(&worker.process, &to.id, memory.get());
+        match try_transfer::<P>(worker, context, from, to.address, false).await {
+            Ok(name) => {
+                return transfer_rest::<P>(worker, context, from, to, name, reservation).await;
+            }
             Err(Error::NotRun("no room")) => error = Error::NotRun("no room"),
             Err(other) => return Err(other),
         }
@@ -114,25 +116,25 @@
 }
 
 /// Stops a run whose memory has been copied in part, and copies the rest.
-async fn move_rest<P: Platform>(
+async fn transfer_rest<P: Platform>(
     worker: &Worker,
     context: &Context,
     from: &Target,
     to: &Target,
     first: SmolStr,
-    kept: Kept,
-) -> Result<Relocated, Error> {
+    reservation: Kept,
+) -> Result<Transferred, Error> {
     let call = Some(P::drop_copy(&first));
-    let unused = Unused { call, from: from.address, to: to.address };
-    let relocated = |name, unused| {
+    let cleanup = Cleanup { call, from: from.address, to: to.address };
+    let transferred = |name, cleanup| {
         let copy = Copy { at: from.address, name };
-        Relocated { to: to.clone(), copy, kept, unused }
+        Transferred { to: to.clone(), copy, reservation, cleanup }
     };
-    match move_once::<P>(worker, context, from, to.address, true).await {
-        Ok(name) => Ok(relocated(name, unused)),
+    match try_transfer::<P>(worker, context, from, to.address, true).await {
+        Ok(name) => Ok(transferred(name, cleanup)),
         Err(Error::Unknown("move broken")) => {
             log::info!(request = context.facts.request.as_str(); "resuming from a partial copy");
-            Ok(relocated(first, unused))
+            Ok(transferred(first, cleanup))
         }
         Err(other) => Err(other),
     }
@@ -145,21 +147,23 @@
     Outgoing { method, path, headers, body }
 }
 
-async fn move_once<P: Platform>(
+async fn try_transfer<P: Platform>(
     worker: &Worker,
     context: &Context,
     from: &Target,
     to: SocketAddr,
     last: bool,
 ) -> Result<SmolStr, Error> {
-    for _ in 0..MOVE_TRIES {
+    for _ in 0..MAX_TRIES {
         worker.fleet.spend(&from.id);
         let call = P::move_run(&context.facts.request, to, last);
-        let called = exchange::call(from.address, outgoing(call), MOVE_TIMEOUT, MAX_REPLY).await;
-        let (status, body): (StatusCode, Bytes) = called.map_err(|error| broken(&error))?;
+        let called =
+            exchange::call(from.address, outgoing(call), TRANSFER_TIMEOUT, MAX_REPLY_BYTES).await;
+        let (status, body): (StatusCode, Bytes) =
+            called.map_err(|error| transfer_failed(&error))?;
         match P::moved(status, &body) {
             Moved::Copied { name } => return Ok(name),
-            Moved::Busy => sleep(BUSY_PAUSE).await,
+            Moved::Busy => sleep(BUSY_DELAY).await,
             Moved::NoRun => return Err(Error::Unknown("no run")),
             Moved::Refused { .. } => return Err(Error::NotRun("no room")),
         }
@@ -167,7 +171,7 @@
     Err(Error::Unknown("move busy"))
 }
 
-fn broken(error: &Failure) -> Error {
+fn transfer_failed(error: &Failure) -> Error {
     log::info!(error:% = error; "move broken");
     Error::Unknown("move broken")
 }
