--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -29,20 +29,20 @@
 
 /// Maximum number of chunks that are queued for a slow caller before no more are read from the
 /// engine.
-const BACKLOG: usize = 32;
+const MAX_QUEUED_CHUNKS: usize = 32;
 
 /// Time without an event after which an answer with a backup migrates to it.
 ///
 /// An engine that loses power or its network leaves its connections open, and the caller would wait
 /// until the engine's lease expires seconds later. This is ten times the longest usual time between
 /// two events; a run that is only slow resumes from its backup without loss.
-const SILENCE: Duration = Duration::from_millis(700);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Maximum number of attempts to migrate one answer.
-const TRIPS: u32 = 12;
+const MAX_MIGRATIONS: u32 = 12;
 
 /// A part of the response body.
-enum Piece {
+enum Chunk {
     Bytes(Bytes),
     /// The answer is complete.
     End,
@@ -50,7 +50,7 @@
 
 /// The body of the caller's response.
 pub(crate) struct Body {
-    pieces: mpsc::Receiver<Piece>,
+    chunks: mpsc::Receiver<Chunk>,
     ended: bool,
 }
 
@@ -61,9 +61,9 @@
         if self.ended {
             return Poll::Ready(None);
         }
-        match self.pieces.poll_recv(cx) {
-            Poll::Ready(Some(Piece::Bytes(bytes))) => Poll::Ready(Some(Ok(bytes))),
-            Poll::Ready(Some(Piece::End)) => {
+        match self.chunks.poll_recv(cx) {
+            Poll::Ready(Some(Chunk::Bytes(bytes))) => Poll::Ready(Some(Ok(bytes))),
+            Poll::Ready(Some(Chunk::End)) => {
                 self.ended = true;
                 Poll::Ready(None)
             }
@@ -89,7 +89,7 @@
 }
 
 /// Relays one generation from its engines to its caller.
-pub(crate) struct Pump {
+pub(crate) struct Relay {
     worker: Worker,
     context: Rc<Context>,
     pass: Pass,
@@ -97,26 +97,26 @@
     /// The response of the current engine; `None` from the end of a run to the start of the next.
     upstream: Option<Response>,
     /// The current engine as it was listed when its run began.
-    at: Option<Target>,
+    target: Option<Target>,
     /// When the request was sent to the current engine.
-    sent: Time,
+    sent_at: Time,
     splitter: Splitter,
     /// The id of the last event sent to the caller.
-    last: Rc<Cell<Option<u64>>>,
+    last_event: Rc<Cell<Option<u64>>>,
     /// Number of events sent to the caller.
     events: u64,
     /// Number of attempts to migrate.
-    trips: u32,
+    migrations: u32,
     /// Number of runs that began without the memory of an earlier run.
     runs: u32,
     /// Whether a migration to the backup was tried since the last migration, so that a failed one
     /// is not repeated.
-    switched: bool,
-    pieces: mpsc::Sender<Piece>,
+    backup_tried: bool,
+    chunks: mpsc::Sender<Chunk>,
     _open: Option<Open>,
 }
 
-impl Pump {
+impl Relay {
     /// Starts to relay an answer whose head has been received; returns the body for the caller.
     pub(crate) fn spawn<P: Platform>(
         worker: Worker,
@@ -127,43 +127,43 @@
         runs: u32,
         open: Option<Open>,
     ) -> Body {
-        let (pieces, receiver) = mpsc::channel(BACKLOG);
-        let last = Rc::new(Cell::new(context.facts.last_event));
-        let at = worker.process.target(pass.target());
-        let pump = Self {
+        let (chunks, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        let last_event = Rc::new(Cell::new(context.facts.last_event));
+        let target = worker.process.target(pass.target());
+        let relay = Self {
             worker,
             context,
             pass,
             backup,
             upstream: Some(started.response),
-            at,
-            sent: started.sent_at,
+            target,
+            sent_at: started.sent_at,
             splitter: Splitter::default(),
-            last,
+            last_event,
             events: 0,
-            trips: 0,
+            migrations: 0,
             runs,
-            switched: false,
-            pieces,
+            backup_tried: false,
+            chunks,
             _open: open,
         };
-        ntex::rt::spawn(pump.run::<P>()).detach();
-        Body { pieces: receiver, ended: false }
+        ntex::rt::spawn(relay.run::<P>()).detach();
+        Body { chunks: receiver, ended: false }
     }
 
     async fn run<P: Platform>(mut self) {
-        let began = self.worker.process.clock.now();
-        let end = self.play::<P>().await;
-        let elapsed = self.worker.process.clock.now().since(began);
+        let started_at = self.worker.process.clock.now();
+        let end = self.relay_events::<P>().await;
+        let elapsed = self.worker.process.clock.now().since(started_at);
         log::info!(
             request = self.context.facts.request.as_str(), end:? = end, events = self.events,
-            last = self.last.get().unwrap_or(0), trips = self.trips, target:% = self.pass.target(),
+            last = self.last_event.get().unwrap_or(0), trips = self.migrations, target:% = self.pass.target(),
             ms = crate::process::state::millis(elapsed); "stream ended"
         );
         match end {
             End::Whole => {
                 // Fails only if the caller has closed its connection.
-                let _ = self.pieces.send(Piece::End).await;
+                let _ = self.chunks.send(Chunk::End).await;
                 self.worker.process.note_whole(self.context.fingerprint);
                 self.pass.finish(Outcome::Whole);
             }
@@ -178,27 +178,27 @@
         }
     }
 
-    async fn play<P: Platform>(&mut self) -> End {
-        let gone = self.context.io.as_ref().map(ntex::io::IoRef::on_disconnect);
-        let gone = async move {
-            match gone {
-                Some(gone) => gone.await,
+    async fn relay_events<P: Platform>(&mut self) -> End {
+        let caller_gone = self.context.io.as_ref().map(ntex::io::IoRef::on_disconnect);
+        let caller_gone = async move {
+            match caller_gone {
+                Some(caller_gone) => caller_gone.await,
                 None => std::future::pending().await,
             }
         };
         let deadline = sleep(self.context.time_left(self.worker.process.clock.now()));
-        let carrying = Fuse::terminated();
-        pin_mut!(gone, deadline, carrying);
+        let migrating = Fuse::terminated();
+        pin_mut!(caller_gone, deadline, migrating);
         let mut targets = self.worker.process.watch_targets();
-        let (mut under_way, mut silent) = (false, false);
+        let (mut in_progress, mut silent) = (false, false);
         loop {
-            if !under_way && (silent || self.wants_to_go()) {
+            if !in_progress && (silent || self.must_migrate()) {
                 silent = false;
-                match self.plan() {
+                match self.next_plan() {
                     Some(plan) => {
                         let (worker, context) = (self.worker.clone(), Rc::clone(&self.context));
-                        carrying.set(migration::migrate::<P>(worker, context, plan).fuse());
-                        under_way = true;
+                        migrating.set(migration::migrate::<P>(worker, context, plan).fuse());
+                        in_progress = true;
                     }
                     None if self.upstream.is_none() => return End::Cut,
                     None => {}
@@ -206,115 +206,120 @@
             }
             tokio::select! {
                 biased;
-                () = &mut gone => return End::Left,
+                () = &mut caller_gone => return End::Left,
                 () = &mut deadline => return End::Late,
-                resumed = &mut carrying, if under_way => {
-                    under_way = false;
-                    self.take(resumed);
+                resumed = &mut migrating, if in_progress => {
+                    in_progress = false;
+                    self.apply_migration(resumed);
                 }
-                chunk = next(&mut self.upstream) => match chunk {
+                chunk = next_chunk(&mut self.upstream) => match chunk {
                     Some(bytes) => {
                         if !self.forward(&bytes).await {
                             return End::Left;
                         }
                     }
                     None if self.is_whole() => return End::Whole,
-                    None => self.broke_off(),
+                    None => self.handle_lost_run(),
                 },
-                _ = targets.changed() => self.look_at_engines(),
-                () = sleep(SILENCE), if self.backup.is_some() => silent = true,
+                _ = targets.changed() => self.check_engines(),
+                () = sleep(SILENCE_TIMEOUT), if self.backup.is_some() => silent = true,
             }
         }
     }
 
     /// Handles the loss of the run before its answer was complete.
-    fn broke_off(&mut self) {
+    fn handle_lost_run(&mut self) {
         self.upstream = None;
-        if let Some(at) = &self.at {
-            liveness::Check::new(&self.worker, &self.context, at, self.sent).spawn();
+        if let Some(target) = &self.target {
+            liveness::Check::new(&self.worker, &self.context, target, self.sent_at).spawn();
         }
     }
 
     /// Whether the answer must migrate: its run was lost, or its engine accepts no new requests and
     /// the answer is too long to finish there.
-    fn wants_to_go(&self) -> bool {
+    fn must_migrate(&self) -> bool {
         match &self.upstream {
             None => true,
-            Some(_) if self.may_stay() => false,
+            Some(_) if self.may_finish_here() => false,
             Some(_) => !self.worker.process.is_target_ready(self.pass.target()),
         }
     }
 
     /// Whether the answer should finish where it is: it is expected to end within the notice that
     /// its engine gives, and if it does not, another run can continue after its last event.
-    fn may_stay(&self) -> bool {
-        let long =
-            migration::is_long(&self.context) || self.produced() >= migration::MIN_BACKUP_TOKENS;
+    fn may_finish_here(&self) -> bool {
+        let long = migration::is_long(&self.context)
+            || self.produced_tokens() >= migration::MIN_BACKUP_TOKENS;
         self.context.route.kind.is_idempotent() && !long
     }
 
     /// Returns the next migration to try, or `None` if there is none.
-    fn plan(&mut self) -> Option<Plan> {
-        if self.trips >= TRIPS {
+    fn next_plan(&mut self) -> Option<Plan> {
+        if self.migrations >= MAX_MIGRATIONS {
             return None;
         }
         let engine = self.context.service.engine.as_ref()?;
         let (moves, resumable) = (engine.moves, self.context.route.kind.is_idempotent());
         let process = &self.worker.process;
-        let (strategy, candidates) = if let Some(backup) = self.backup.take_if(|_| !self.switched) {
-            self.switched = true;
-            (Strategy::Backup, vec![process.target(backup.target())?])
-        } else if self.upstream.is_some() && moves {
-            let from = process.target(self.pass.target())?;
-            (
-                Strategy::Transfer { from, remaining: self.left(), memory: self.held() },
-                self.refuges(),
-            )
-        } else if self.upstream.is_none() && resumable && self.may_run_again() {
-            self.runs += 1;
-            (Strategy::Restart, self.refuges())
-        } else {
-            return None;
-        };
+        let (strategy, candidates) =
+            if let Some(backup) = self.backup.take_if(|_| !self.backup_tried) {
+                self.backup_tried = true;
+                (Strategy::Backup, vec![process.target(backup.target())?])
+            } else if self.upstream.is_some() && moves {
+                let from = process.target(self.pass.target())?;
+                (
+                    Strategy::Transfer {
+                        from,
+                        remaining: self.remaining_tokens(),
+                        memory: self.memory_tokens(),
+                    },
+                    self.candidates(),
+                )
+            } else if self.upstream.is_none() && resumable && self.may_restart_run() {
+                self.runs += 1;
+                (Strategy::Restart, self.candidates())
+            } else {
+                return None;
+            };
         if candidates.is_empty() {
             return None;
         }
-        self.trips += 1;
-        Some(Plan { strategy, candidates, last_event: Rc::clone(&self.last) })
+        self.migrations += 1;
+        Some(Plan { strategy, candidates, last_event: Rc::clone(&self.last_event) })
     }
 
     /// Whether the route and the retry budget allow one more run.
-    fn may_run_again(&self) -> bool {
+    fn may_restart_run(&self) -> bool {
         self.runs < self.context.route.attempts && self.pass.try_repeat()
     }
 
-    fn refuges(&self) -> Vec<Target> {
+    fn candidates(&self) -> Vec<Target> {
         let process = &self.worker.process;
-        let near = process.neighbours(self.pass.target());
-        let refuges = self.pass.refuges(&near, None);
-        refuges.iter().filter_map(|refuge| process.target(refuge)).collect()
+        let neighbours = process.neighbours(self.pass.target());
+        let candidates = self.pass.refuges(&neighbours, None);
+        candidates.iter().filter_map(|candidate| process.target(candidate)).collect()
     }
 
     /// Returns the number of tokens that the answer is expected to produce from now on: what the
     /// caller's estimate leaves, but at least a third of those produced so far, since long answers
     /// tend to continue.
-    fn left(&self) -> Tokens {
-        let produced = self.produced();
+    fn remaining_tokens(&self) -> Tokens {
+        let produced = self.produced_tokens();
         let guess = migration::expected_tokens(&self.context).get();
         Tokens::new(guess.saturating_sub(produced).max(produced / 3))
     }
 
     /// Returns the number of tokens in the answer's memory.
-    fn held(&self) -> Tokens {
-        Tokens::new(self.context.facts.prompt.get() + self.produced())
+    fn memory_tokens(&self) -> Tokens {
+        Tokens::new(self.context.facts.prompt.get() + self.produced_tokens())
     }
 
-    fn produced(&self) -> u64 {
+    fn produced_tokens(&self) -> u64 {
         let engine = self.context.service.engine.as_ref();
         self.events * engine.map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
-    fn take(&mut self, resumed: Result<Resumed, Error>) {
+    fn apply_migration(&mut self, resumed: Result<Resumed, Error>) {
         // If the migration failed, the old run continues for as long as it can.
         let Ok(resumed) = resumed else { return };
         self.pass.transfer(&resumed.target);
@@ -322,10 +327,10 @@
         // No new backup is made: it would compete for links over which other answers still migrate.
         self.backup = None;
         self.upstream = Some(resumed.started.response);
-        self.sent = resumed.started.sent_at;
-        self.at = self.worker.process.target(&resumed.target);
+        self.sent_at = resumed.started.sent_at;
+        self.target = self.worker.process.target(&resumed.target);
         self.splitter = Splitter::default();
-        self.switched = false;
+        self.backup_tried = false;
     }
 
     /// Drops the backup if its engine drains, is cordoned or has restarted, and the run if its
@@ -335,25 +340,26 @@
     /// expires. The connection to the old instance then stays open without data, and only the
     /// restart shows that the run is lost. Without this check the caller would wait until its
     /// deadline.
-    fn look_at_engines(&mut self) {
+    fn check_engines(&mut self) {
         let process = &self.worker.process;
-        let leaves = |backup: &Backup| {
+        let is_draining = |backup: &Backup| {
             !process.is_target_ready(backup.target()) || process.is_cordoned(backup.listed())
         };
         let restarted = |known: &Target| {
             process.target(&known.id).is_some_and(|listed| listed.is_restart_of(known))
         };
-        if self.backup.as_ref().is_some_and(|b| leaves(b) || restarted(b.listed())) {
+        if self.backup.as_ref().is_some_and(|b| is_draining(b) || restarted(b.listed())) {
             self.backup = None;
         }
-        if self.at.as_ref().is_some_and(restarted) {
+        if self.target.as_ref().is_some_and(restarted) {
             log::info!(
                 request = self.context.facts.request.as_str(), target:% = self.pass.target();
                 "run lost, its engine has restarted"
             );
             self.upstream = None;
-            if let Some(at) = self.at.take() {
-                liveness::Check::new(&self.worker, &self.context, &at, self.sent).record_crash();
+            if let Some(target) = self.target.take() {
+                liveness::Check::new(&self.worker, &self.context, &target, self.sent_at)
+                    .record_crash();
             }
         }
     }
@@ -373,31 +379,31 @@
         for event in events {
             if let Some(id) = event.id {
                 // The previous run produced this event while the next one started.
-                if self.last.get().is_some_and(|last| id <= last) {
+                if self.last_event.get().is_some_and(|last_event| id <= last_event) {
                     continue;
                 }
-                self.last.set(Some(id));
+                self.last_event.set(Some(id));
             }
             self.events += 1;
-            if self.pieces.send(Piece::Bytes(event.bytes)).await.is_err() {
+            if self.chunks.send(Chunk::Bytes(event.bytes)).await.is_err() {
                 return false;
             }
         }
-        self.progress();
+        self.report_progress();
         true
     }
 
-    fn progress(&mut self) {
-        self.pass.progress(Tokens::new(self.produced()), self.events == 1);
-        let held = self.held().get();
+    fn report_progress(&mut self) {
+        self.pass.progress(Tokens::new(self.produced_tokens()), self.events == 1);
+        let memory = self.memory_tokens().get();
         if let Some(backup) = &mut self.backup {
-            backup.grow(held);
+            backup.grow(memory);
         }
     }
 }
 
 /// Returns the next bytes of a response, or `None` at its end; clears `upstream` if it failed.
-async fn next(upstream: &mut Option<Response>) -> Option<Bytes> {
+async fn next_chunk(upstream: &mut Option<Response>) -> Option<Bytes> {
     match upstream {
         Some(response) => match response.chunk().await {
             Ok(Some(bytes)) => Some(bytes),
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -15,7 +15,7 @@
 use crate::request::admission::{self, Rejection};
 use crate::request::attempt::{self, Error, Options, Started, decline_retry_after};
 use crate::request::migration::{self, Backup};
-use crate::request::relay::Pump;
+use crate::request::relay::Relay;
 use crate::request::{Context, Worker, end_to_end, entries, liveness, quarantine, refuse};
 
 /// Divisor of the time that a refused caller has left: it is told to retry after at most this part
@@ -194,7 +194,7 @@
         }
         let (open, context, worker) =
             (self.open.take(), Rc::clone(&self.context), self.worker.clone());
-        let body = Pump::spawn::<P>(worker, context, pass, backup, started, self.attempts, open);
+        let body = Relay::spawn::<P>(worker, context, pass, backup, started, self.attempts, open);
         Ok(head.streaming(body))
     }
 
