--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -13,7 +13,7 @@
 use crate::process::state::millis;
 use crate::request::{Context, URGENCY, Worker, liveness};
 
-/// The reason if the target is cordoned.
+/// The reason of [`Error::NotSent`] if the target is cordoned.
 const CORDONED: &str = "cordoned";
 
 /// Why an attempt returned no answer that can be sent to the caller.
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Returns the reason as it stands in logs and metrics.
     pub(crate) fn reason(&self) -> &'static str {
         match self {
             Self::NotSent(reason) | Self::NotRun(reason) | Self::Unknown(reason) => reason,
@@ -64,7 +65,7 @@
     pub(crate) sent_at: Time,
 }
 
-/// What an attempt tells the target in addition to the request.
+/// What an attempt sends to the target in addition to the request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Options {
     /// The engine that keeps a backup of the run's memory.
@@ -108,6 +109,7 @@
     result
 }
 
+/// Sends the request; see [`send`], which also logs and counts the attempt.
 async fn try_send<P: Platform>(
     worker: &Worker,
     context: &Context,
--- a/crates/gateway/src/request/liveness.rs
+++ b/crates/gateway/src/request/liveness.rs
@@ -69,6 +69,7 @@
         self.record(Status::Crashed, self.process.clock.now());
     }
 
+    /// Determines the state of the target by opening a connection to it.
     async fn status(&self) -> Status {
         if !self.was_ready {
             return Status::Draining;
--- a/crates/gateway/src/request/migration.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -32,7 +32,7 @@
 /// Fraction of an engine's memory that backups leave free for answers.
 ///
 /// Backups protect against engines that stop without notice. They cost memory, and bandwidth that
-/// answers need to leave engines that do give notice. If every stop has a notice, the benchmark
+/// migrations from engines that do give notice need. If every stop has a notice, the benchmark
 /// score is 0.706 and 0.484 on two deployments with a reserve of 0.3, 0.713 and 0.513 with 0.65,
 /// and 0.721 and 0.515 without backups. With four crashes without notice it is 0.881 with a reserve
 /// of 0.65 and 0.837 without backups.
@@ -119,6 +119,7 @@
 }
 
 impl Strategy {
+    /// Returns the name of the strategy in logs and metrics.
     pub(crate) fn label(&self) -> &'static str {
         match self {
             Self::Backup => "switch",
@@ -165,6 +166,7 @@
     result
 }
 
+/// Migrates an answer; see [`migrate`], which also logs and counts the attempt.
 async fn try_migrate<P: Platform>(
     worker: &Worker,
     context: &Context,
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -52,6 +52,7 @@
     }
 }
 
+/// Logs and counts a decision about a quarantined request.
 fn log_decision(worker: &Worker, context: &Context, decision: &'static str, wait: Duration) {
     worker.process.metrics.held(decision);
     log::info!(
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -294,6 +294,7 @@
         self.runs < self.context.route.attempts && self.pass.try_repeat()
     }
 
+    /// Returns the engines to which the answer may migrate, the best first.
     fn candidates(&self) -> Vec<Target> {
         let process = &self.worker.process;
         let neighbours = process.neighbours(self.pass.target());
@@ -315,11 +316,13 @@
         Tokens::new(self.context.facts.prompt.get() + self.produced_tokens())
     }
 
+    /// Returns the number of tokens sent to the caller.
     fn produced_tokens(&self) -> u64 {
         let engine = self.context.service.engine.as_ref();
         self.events * engine.map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
+    /// Continues with the new run if a migration succeeded.
     fn apply_migration(&mut self, resumed: Result<Resumed, Error>) {
         // If the migration failed, the old run continues for as long as it can.
         let Ok(resumed) = resumed else { return };
@@ -343,13 +346,13 @@
     /// deadline.
     fn check_engines(&mut self) {
         let process = &self.worker.process;
-        let is_draining = |backup: &Backup| {
+        let is_unavailable = |backup: &Backup| {
             !process.is_target_ready(backup.target()) || process.is_cordoned(backup.listed())
         };
         let restarted = |known: &Target| {
             process.target(&known.id).is_some_and(|listed| listed.is_restart_of(known))
         };
-        if self.backup.as_ref().is_some_and(|b| is_draining(b) || restarted(b.listed())) {
+        if self.backup.as_ref().is_some_and(|b| is_unavailable(b) || restarted(b.listed())) {
             self.backup = None;
         }
         if self.target.as_ref().is_some_and(restarted) {
@@ -394,6 +397,7 @@
         true
     }
 
+    /// Reports the length of the answer to the gate and to its backup.
     fn report_progress(&mut self) {
         self.pass.progress(Tokens::new(self.produced_tokens()), self.events == 1);
         let memory = self.memory_tokens().get();
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -18,8 +18,8 @@
 use crate::request::relay::Relay;
 use crate::request::{Context, Worker, end_to_end, entries, liveness, quarantine, refuse};
 
-/// Divisor of the time that a refused caller has left: it is told to retry after at most this part
-/// of it, since it needs the rest for the answer.
+/// Divisor of the time that a refused caller has left. It may wait for at most this part of it
+/// before it retries, since it needs the rest for the answer.
 const RETRY_AFTER_DIVISOR: u32 = 3;
 
 /// Maximum size in bytes of an answer that is not a stream: such an answer is an engine's error.
--- a/crates/gateway/src/request/transfer.rs
+++ b/crates/gateway/src/request/transfer.rs
@@ -61,7 +61,7 @@
 ///
 /// An answer may end, or its caller disconnect, while its memory is being transferred. The copy
 /// would occupy memory and a slot at the other engine for seconds, and that engine would refuse
-/// answers that must leave their own.
+/// other answers that must migrate.
 struct Cleanup {
     call: Option<Call>,
     from: SocketAddr,
@@ -147,6 +147,8 @@
     Outgoing { method, path, headers, body }
 }
 
+/// Calls the engine that runs a request to copy its memory to another engine, and returns the name
+/// of the copy; `last` stops the run first.
 async fn try_transfer<P: Platform>(
     worker: &Worker,
     context: &Context,
