--- /dev/null
+++ b/crates/gateway/src/request/admission.rs
@@ -0,0 +1,92 @@
+//! Admission: a request is sent to a target once the gate, the target's limit and the quarantine of
+//! poison requests allow it.
+
+use std::time::Duration;
+
+use fireflyhoist_policy::exclusion::Exclusion;
+use fireflyhoist_policy::gate::Refusal;
+use fireflyhoist_policy::id;
+use fireflyhoist_policy::lease::Target;
+
+use crate::connection::frame::Permit;
+use crate::process::lane::Pass;
+use crate::request::{Context, Worker, quarantine};
+
+/// How long the entry that owns a target's token bucket may take to answer: about twenty round
+/// trips.
+const SEND_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Why a request is not sent.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Rejection {
+    /// The gate refuses it.
+    Refused(Refusal),
+    /// It is quarantined, and may be sent again after this time.
+    Quarantined(Duration),
+}
+
+/// Waits until a request may be sent to a target and returns the pass for that target.
+///
+/// `avoid` is the target of the previous attempt. `retry` is set if an earlier attempt may have
+/// reached a target.
+pub(crate) async fn admit(
+    worker: &Worker,
+    context: &Context,
+    avoid: Option<&id::Target>,
+    mut retry: bool,
+) -> Result<Pass, Rejection> {
+    loop {
+        let request = context.gate_request(avoid.cloned(), retry);
+        let pass =
+            context.lane.admit(request).await.map_err(|refusal| log_refusal(context, refusal))?;
+        if let Some((exclusion, wait)) = check_limit(worker, pass.target()).await {
+            context.lane.close_target(pass.target(), wait, exclusion);
+            // The retry budget has been charged for this attempt already.
+            retry = false;
+            continue;
+        }
+        return match quarantine::acquire(worker, context).await {
+            Some(wait) => Err(Rejection::Quarantined(wait)),
+            None => Ok(pass),
+        };
+    }
+}
+
+/// Logs why targets were excluded.
+fn log_refusal(context: &Context, refusal: Refusal) -> Rejection {
+    let excluded = context.lane.exclusions();
+    log::info!(
+        request = context.facts.request.as_str(), reason:% = refusal.reason,
+        excluded = excluded.as_str(); "no target takes it"
+    );
+    Rejection::Refused(refusal)
+}
+
+/// Asks the entry that owns the target's token bucket for one request. Returns why and for how long
+/// the target accepts no more, or `None` if the request may be sent now.
+async fn check_limit(worker: &Worker, target: &id::Target) -> Option<(Exclusion, Duration)> {
+    let question = worker.process.question(target)?;
+    let exclusion = match question {
+        Permit::ColdSend(_) => Exclusion::Cold,
+        Permit::LimitedSend(_) | Permit::Trial(_) => Exclusion::Limited,
+    };
+    let wait = worker.fleet.ask(question, SEND_TIMEOUT).await;
+    worker.process.metrics.limited(exclusion, if wait.is_some() { "elsewhere" } else { "sent" });
+    wait.map(|wait| (exclusion, wait))
+}
+
+/// Filters targets, given in order of preference, to those that accept a request now: all targets
+/// without a limit or, if there are none, the first target whose limit grants the request.
+pub(crate) async fn within_limits(worker: &Worker, targets: Vec<Target>) -> Vec<Target> {
+    let limited = |target: &Target| worker.process.question(&target.id).is_some();
+    let (limited, unlimited): (Vec<Target>, Vec<Target>) = targets.into_iter().partition(limited);
+    if !unlimited.is_empty() {
+        return unlimited;
+    }
+    for target in limited {
+        if check_limit(worker, &target.id).await.is_none() {
+            return vec![target];
+        }
+    }
+    Vec::new()
+}
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -1,18 +1,18 @@
-//! What lives as long as a request.
+//! Request handling: routing, admission, attempts, relaying of answers, and migration.
 
-pub(crate) mod admit;
+pub(crate) mod admission;
 pub(crate) mod attempt;
-pub(crate) mod broken;
-pub(crate) mod carry;
 pub(crate) mod entries;
-pub(crate) mod held;
+pub(crate) mod liveness;
+pub(crate) mod migration;
 pub(crate) mod plain;
 pub(crate) mod probe;
-pub(crate) mod pump;
+pub(crate) mod quarantine;
 pub(crate) mod refuse;
-pub(crate) mod relocate;
+pub(crate) mod relay;
 pub(crate) mod sse;
 pub(crate) mod stream;
+pub(crate) mod transfer;
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -37,26 +37,27 @@
 use crate::process::lane::Lane;
 use crate::process::state::{Process, millis};
 
-/// Patience of callers that state none: below the default timeouts of common clients.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of callers that send none: below the default timeouts of common clients.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long before its caller would leave a request that has not begun is refused, so that the
-/// refusal arrives: ten times the way, and what a busy host may take.
-const TELL: Duration = Duration::from_millis(300);
+/// How long before the caller would give up a request that has not begun is refused, so that the
+/// refusal arrives in time: ten network delays, plus the delay that a busy host may add.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long a body may take to arrive.
+/// How long the body of a request may take to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Urgency at engines, the same for all.
+/// Urgency of requests at engines, the same for all requests.
 ///
-/// **Failure:** with ranks as urgencies a full engine stops an answer that runs to begin a more
-/// urgent one, and reads it anew later: its caller sees a pause of a second in the middle of a page,
-/// and the engine's work is lost. On six heavy days of the two larger deployments 57 to 106 answers a
-/// day were stopped, 140 on one of them before, and the worth went from 0.508 and 0.413 to 0.534 and
-/// 0.399; with long answers ahead of short ones up to 229 were stopped.
+/// With different urgencies a full engine preempts a running answer to begin a more urgent one, and
+/// recomputes its prompt later: its caller sees a pause of a second in the middle of the answer,
+/// and the work is lost. On two deployments under heavy load, equal urgencies reduce preemptions
+/// from 140 a day on one of them to between 57 and 106 on both, and change the benchmark score from
+/// 0.508 to 0.534 and from 0.413 to 0.399. With long answers ahead of short ones there are up to
+/// 229.
 pub(crate) const URGENCY: u8 = 5;
 
-/// One worker thread's context.
+/// State of the process that a worker thread uses to serve requests.
 #[derive(Clone)]
 pub(crate) struct Worker {
     pub(crate) process: Arc<Process>,
@@ -64,13 +65,13 @@
 }
 
 impl Worker {
-    pub(crate) fn open(process: Arc<Process>, fleet: Arc<Fleet>) -> Self {
+    pub(crate) fn new(process: Arc<Process>, fleet: Arc<Fleet>) -> Self {
         Self { process, fleet }
     }
 }
 
-/// A request that may be served, with what was found out about it.
-pub(crate) struct Inquiry {
+/// A request that may be served, with its route, service and deadlines.
+pub(crate) struct Context {
     pub(crate) facts: Facts,
     pub(crate) table: Arc<Table>,
     pub(crate) route: Route,
@@ -82,30 +83,32 @@
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// What it asks, by which it is known again where it comes back.
-    pub(crate) print: Fingerprint,
-    /// Whether it was granted a trial that has not arrived at a target yet.
-    pub(crate) trial: Cell<bool>,
-    /// Since when it has been wanted: from before it came, where it was refused then.
-    pub(crate) wanted: Time,
-    /// When its answer should have begun.
+    /// Fingerprint of workspace, path and body, which identifies the request when it is
+    /// resubmitted.
+    pub(crate) fingerprint: Fingerprint,
+    /// Whether it was granted a trial that has not reached a target yet.
+    pub(crate) has_trial: Cell<bool>,
+    /// When its caller first sent it: earlier than its arrival if it was refused before.
+    pub(crate) first_sent_at: Time,
+    /// When its answer should begin, by the objective of its route.
     pub(crate) objective: Time,
-    /// When an answer that has not begun is of no more use: its caller leaves.
-    pub(crate) begin_by: Time,
+    /// When its caller gives up if the answer has not begun.
+    pub(crate) start_deadline: Time,
+    /// When the answer must be complete.
     pub(crate) deadline: Time,
     /// The caller's connection.
     pub(crate) io: Option<IoRef>,
 }
 
-impl Inquiry {
-    pub(crate) fn left(&self, now: Time) -> Duration {
+impl Context {
+    pub(crate) fn time_left(&self, now: Time) -> Duration {
         self.deadline.since(now)
     }
 
-    /// What the gate is asked for the first attempt.
-    pub(crate) fn ask(&self, avoid: Option<id::Target>, repeat: bool) -> gate::Request {
-        let workspace = self.workspace.clone().unwrap_or_else(nobody);
-        let class = if carry::is_long(self) { Class::Overnight } else { Class::Live };
+    /// Returns the request to the gate for one attempt.
+    pub(crate) fn gate_request(&self, avoid: Option<id::Target>, retry: bool) -> gate::Request {
+        let workspace = self.workspace.clone().unwrap_or_else(public_workspace);
+        let class = if migration::is_long(self) { Class::Overnight } else { Class::Live };
         let (class, limit) = match self.route.kind.is_stream() && self.service.engine.is_some() {
             true => (class, self.facts.limit),
             false => (Class::Lookup, Default::default()),
@@ -118,9 +121,9 @@
             limit,
             prefix: fireflyhoist_policy::placement::NO_PREFIX,
             objective: self.objective,
-            deadline: self.begin_by,
+            deadline: self.start_deadline,
             avoid,
-            retry: repeat,
+            retry,
         }
     }
 
@@ -133,27 +136,27 @@
     }
 }
 
-/// The workspace of callers that need no key.
-fn nobody() -> id::Workspace {
+/// Returns the workspace of callers that need no key.
+fn public_workspace() -> id::Workspace {
     "public".parse().expect("a fixed name is valid")
 }
 
-/// Serves one request from its head to its answer.
+/// Serves one request; a streamed answer continues after this returns.
 pub(crate) async fn serve<P: Platform>(worker: &Worker, request: Request) -> Response {
-    let arrived = worker.process.clock.now();
+    let arrived_at = worker.process.clock.now();
     let open = worker.process.begin();
     let leaving = worker.process.is_leaving();
-    let mut answered = match inquire::<P>(worker, request, arrived).await {
-        Ok(inquiry) => {
-            let kind = inquiry.kind();
-            let id = inquiry.facts.request.clone();
-            let route = inquiry.route.name.clone();
-            let response = match (held::refused(worker, &inquiry), inquiry.route.kind) {
+    let mut response = match resolve::<P>(worker, request, arrived_at).await {
+        Ok(context) => {
+            let kind = context.kind();
+            let id = context.facts.request.clone();
+            let route = context.route.name.clone();
+            let response = match (quarantine::check(worker, &context), context.route.kind) {
                 (Some(refused), _) => refused,
-                (None, Kind::Stream { .. }) => stream::serve::<P>(worker, inquiry, open).await,
-                (None, Kind::Safe | Kind::Unsafe) => plain::serve::<P>(worker, &inquiry).await,
+                (None, Kind::Stream { .. }) => stream::serve::<P>(worker, context, open).await,
+                (None, Kind::Safe | Kind::Unsafe) => plain::serve::<P>(worker, &context).await,
             };
-            let elapsed = worker.process.clock.now().since(arrived);
+            let elapsed = worker.process.clock.now().since(arrived_at);
             let status = response.status().as_u16();
             worker.process.metrics.request(kind, status, elapsed);
             log::info!(
@@ -165,24 +168,24 @@
         Err(response) => response,
     };
     if leaving || worker.process.is_leaving() {
-        answered.head_mut().set_connection_type(ntex::http::ConnectionType::Close);
+        response.head_mut().set_connection_type(ntex::http::ConnectionType::Close);
     }
-    answered
+    response
 }
 
-/// Finds out what is asked and whether it may be served.
-async fn inquire<P: Platform>(
+/// Reads a request and resolves its route, workspace and service, or returns its refusal.
+async fn resolve<P: Platform>(
     worker: &Worker,
     mut request: Request,
-    arrived: Time,
-) -> Result<Inquiry, Response> {
+    arrived_at: Time,
+) -> Result<Context, Response> {
     let facts = P::facts(request.headers());
     worker.process.warm_up().await;
     let Some(table) = worker.process.table() else {
         return Err(refuse::not_ready(&facts.request));
     };
     let revision = table.text().revision;
-    // Two hosts are two routes, and the next hop may choose the other.
+    // Two host headers may name two routes, and the next hop may choose the other one.
     let mut hosts = request.headers().get_all(HOST);
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
         return Err(refuse::bad_host(&facts.request));
@@ -200,10 +203,10 @@
         (None, true) => return Err(refuse::unknown_key(&facts.request, revision)),
     };
     let limit = usize::try_from(table.text().bounds.body.get()).unwrap_or(usize::MAX);
-    let body = match timeout(BODY_TIMEOUT, read(request.take_payload(), limit)).await {
+    let body = match timeout(BODY_TIMEOUT, read_body(request.take_payload(), limit)).await {
         Ok(Some(body)) => body,
         Ok(None) => return Err(refuse::too_large(&facts.request)),
-        Err(()) => return Err(refuse::body_late(&facts.request)),
+        Err(()) => return Err(refuse::body_timeout(&facts.request)),
     };
     let draw = xxhash_rust::xxh3::xxh3_64(facts.request.as_bytes());
     let service = route.service(draw).and_then(|name| table.service(name)).cloned();
@@ -211,24 +214,27 @@
     let (Some(service), Some(lane)) = (service, lane) else {
         return Err(refuse::no_target(&facts.request));
     };
-    let patience = facts.patience.unwrap_or(PATIENCE).min(route.timeout);
+    let request_timeout = facts.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let workspace_id = workspace.as_ref().map(|workspace| &workspace.id);
-    let print = Fingerprint::of(workspace_id, &path, &body);
-    let returned = route.kind.is_stream().then(|| worker.process.wanted_since(print)).flatten();
-    let wanted = returned.unwrap_or(arrived);
-    if returned.is_some() {
+    let fingerprint = Fingerprint::of(workspace_id, &path, &body);
+    let first_attempt_at =
+        route.kind.is_stream().then(|| worker.process.wanted_since(fingerprint)).flatten();
+    let first_sent_at = first_attempt_at.unwrap_or(arrived_at);
+    if first_attempt_at.is_some() {
         log::info!(
-            request = facts.request.as_str(), wanted_ms = millis(arrived.since(wanted)); "came back"
+            request = facts.request.as_str(),
+            wanted_ms = millis(arrived_at.since(first_sent_at)); "came back"
         );
     }
-    let silence = route.silence.map_or(patience, |silence| silence.saturating_sub(TELL));
-    Ok(Inquiry {
-        print,
-        trial: Cell::new(false),
-        wanted,
-        objective: wanted + route.objective,
-        begin_by: arrived + silence.min(patience),
+    let start_timeout =
+        route.silence.map_or(request_timeout, |silence| silence.saturating_sub(REFUSAL_MARGIN));
+    Ok(Context {
+        fingerprint,
+        has_trial: Cell::new(false),
+        first_sent_at,
+        objective: first_sent_at + route.objective,
+        start_deadline: arrived_at + start_timeout.min(request_timeout),
         label: workspace.as_ref().map(|w| w.label.clone()),
         workspace: workspace.map(|w| w.id),
         method: request.method().clone(),
@@ -241,12 +247,12 @@
         service,
         lane,
         body,
-        deadline: arrived + patience,
+        deadline: arrived_at + request_timeout,
     })
 }
 
-/// Reads a body; `None` where it passes the limit or breaks off.
-async fn read(mut payload: Payload, limit: usize) -> Option<Bytes> {
+/// Reads a body. Returns `None` if it is larger than `limit` bytes or its connection is lost.
+async fn read_body(mut payload: Payload, limit: usize) -> Option<Bytes> {
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.ok()?;
@@ -258,7 +264,7 @@
     Some(body.freeze())
 }
 
-/// Headers that concern only one connection.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -272,7 +278,7 @@
     "proxy-authenticate",
 ];
 
-/// The headers that go on to the other end, those named in `Connection` left out too.
+/// Returns the headers to forward: all but hop-by-hop headers and those named in `Connection`.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all("connection")
@@ -280,12 +286,12 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut kept = HeaderMap::new();
+    let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
         let text = name.as_str();
         if !HOP_BY_HOP.contains(&text) && !named.iter().any(|named| named == text) {
-            kept.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -1,4 +1,4 @@
-//! A generation: admitted, begun at an engine, and handed to its pump once its head is there.
+//! Generations: admitted, sent to an engine, and relayed once the head of the answer is received.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,91 +12,95 @@
 use crate::platform::Platform;
 use crate::process::lane::Pass;
 use crate::process::state::{Open, millis};
-use crate::request::admit::{self, Stop};
-use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
-use crate::request::carry::{self, Backup};
-use crate::request::pump::Pump;
-use crate::request::{Inquiry, Worker, broken, end_to_end, entries, held, refuse};
-
-/// The part of its patience that a caller spends at most before it comes back: it needs the rest
-/// for the answer.
-const COME_BACK_PART: u32 = 3;
-
-/// The largest answer without a stream that an engine may give: a refusal of its own.
-const MAX_ANSWER: usize = 1 << 20;
-
-/// Serves one generation; the answer goes on after this returns.
-pub(crate) async fn serve<P: Platform>(worker: &Worker, inquiry: Inquiry, open: Open) -> Response {
-    let inquiry = Rc::new(inquiry);
-    if carry::is_long(&inquiry)
-        && let Some(after) = sent_away(worker, &inquiry)
+use crate::request::admission::{self, Rejection};
+use crate::request::attempt::{self, Error, Options, Started, decline_retry_after};
+use crate::request::migration::{self, Backup};
+use crate::request::relay::Relay;
+use crate::request::{Context, Worker, end_to_end, entries, liveness, quarantine, refuse};
+
+/// Divisor of the time that a refused caller has left. It may wait for at most this part of it
+/// before it retries, since it needs the rest for the answer.
+const RETRY_AFTER_DIVISOR: u32 = 3;
+
+/// Maximum size in bytes of an answer that is not a stream: such an answer is an engine's error.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+
+/// Serves one generation; its answer is relayed after this returns.
+pub(crate) async fn serve<P: Platform>(worker: &Worker, context: Context, open: Open) -> Response {
+    let context = Rc::new(context);
+    if migration::is_long(&context)
+        && let Some(after) = drain_retry_after(worker, &context)
     {
-        return refuse::leaving(&inquiry.facts.request, after);
+        return refuse::draining(&context.facts.request, after);
     }
-    let left = inquiry.left(worker.process.clock.now());
-    let mut run = Run {
+    let time_left = context.time_left(worker.process.clock.now());
+    let mut dispatch = Dispatch {
         worker,
-        inquiry: Rc::clone(&inquiry),
+        context: Rc::clone(&context),
         open: Some(open),
-        sent: 0,
-        arrived: false,
-        flying: false,
-        doubtful: false,
+        attempts: 0,
+        reached_target: false,
+        in_flight: false,
+        outcome_unknown: false,
     };
-    let finished = timeout(left, run.play::<P>()).await.ok();
+    let finished = timeout(time_left, dispatch.run::<P>()).await.ok();
     match finished {
         Some(response) => response,
-        None if run.may_have_run() => refuse::late(&inquiry.facts.request),
-        None => refuse::declined(&inquiry.facts.request, come_back(left)),
+        None if dispatch.may_have_run() => refuse::timed_out(&context.facts.request),
+        None => refuse::declined(&context.facts.request, decline_retry_after(time_left)),
     }
 }
 
-/// When to come back where this entry leaves and the answer would not end here.
-fn sent_away(worker: &Worker, inquiry: &Inquiry) -> Option<Duration> {
-    let (since, left) = worker.process.leaving()?;
+/// Returns when to retry if this entry is draining and the answer would not end before it stops.
+fn drain_retry_after(worker: &Worker, context: &Context) -> Option<Duration> {
+    let (since, time_left) = worker.process.leaving()?;
     let others = worker.fleet.has_others();
-    let situation = State {
+    let state = State {
         peers_accept: others,
         draining_for: since,
-        remaining: left,
+        remaining: time_left,
         address_ttl: entries::TTL,
     };
-    match shutdown::decide(&situation, carry::expected(inquiry)) {
+    match shutdown::decide(&state, migration::expected_tokens(context)) {
         Decision::Serve => None,
         Decision::RetryAfter(after) => Some(after),
     }
 }
 
-struct Run<'a> {
+/// The progress of one generation until its answer begins.
+struct Dispatch<'a> {
     worker: &'a Worker,
-    inquiry: Rc<Inquiry>,
+    context: Rc<Context>,
     open: Option<Open>,
-    sent: u32,
-    /// Whether an attempt arrived at a target.
-    arrived: bool,
-    /// Whether an attempt is under way.
-    flying: bool,
-    /// Whether an attempt ended without its fate being known.
-    doubtful: bool,
+    /// Number of attempts that were sent.
+    attempts: u32,
+    /// Whether an attempt may have reached a target.
+    reached_target: bool,
+    /// Whether an attempt is in flight.
+    in_flight: bool,
+    /// Whether an attempt ended without it being known whether it ran.
+    outcome_unknown: bool,
 }
 
-impl Run<'_> {
-    async fn play<P: Platform>(&mut self) -> Response {
+impl Dispatch<'_> {
+    async fn run<P: Platform>(&mut self) -> Response {
         let mut avoid: Option<id::Target> = None;
         loop {
-            let inquiry = &self.inquiry;
-            let pass = match admit::admit(self.worker, inquiry, avoid.as_ref(), self.arrived).await
-            {
-                Ok(pass) => pass,
-                Err(Stop::Held(wait)) => return self.held_back(wait),
-                Err(Stop::Refused(refusal)) => return self.refused(refusal),
-            };
+            let context = &self.context;
+            let pass =
+                match admission::admit(self.worker, context, avoid.as_ref(), self.reached_target)
+                    .await
+                {
+                    Ok(pass) => pass,
+                    Err(Rejection::Quarantined(wait)) => return self.quarantined(wait),
+                    Err(Rejection::Refused(refusal)) => return self.refused(refusal),
+                };
             avoid = Some(pass.target().clone());
-            self.note_placed(&pass);
+            self.log_placement(&pass);
             match self.attempt::<P>(pass).await {
                 Ok(response) => return response,
-                Err(ended) => {
-                    if let Some(response) = self.ended(&ended) {
+                Err(error) => {
+                    if let Some(response) = self.handle_failure(&error) {
                         return response;
                     }
                 }
@@ -104,109 +108,118 @@
         }
     }
 
-    /// Writes down what decided for a target, so that a late beginning can be explained.
-    fn note_placed(&self, pass: &Pass) {
-        let (inquiry, process) = (&self.inquiry, &self.worker.process);
-        let Some(grounds) = pass.grounds() else { return };
+    /// Logs why the gate chose a target, so that a late start can be explained.
+    fn log_placement(&self, pass: &Pass) {
+        let (context, process) = (&self.context, &self.worker.process);
+        let Some(placement) = pass.grounds() else { return };
         log::info!(
-            request = inquiry.facts.request.as_str(), target:% = pass.target(),
-            waited_ms = millis(process.clock.now().since(inquiry.wanted)),
-            objective_ms = millis(inquiry.route.objective),
-            load:% = format_args!("{:.2}", grounds.load), streams = grounds.streams,
-            unread:% = grounds.unread, view_ms = millis(grounds.age), late = grounds.late; "placed"
+            request = context.facts.request.as_str(), target:% = pass.target(),
+            waited_ms = millis(process.clock.now().since(context.first_sent_at)),
+            objective_ms = millis(context.route.objective),
+            load:% = format_args!("{:.2}", placement.load), streams = placement.streams,
+            unread:% = placement.unread, view_ms = millis(placement.age),
+            late = placement.late; "placed"
         );
     }
 
-    /// Whether to answer now that an attempt brought nothing, or to try again.
-    fn ended(&mut self, ended: &Ended) -> Option<Response> {
-        let request = &self.inquiry.facts.request;
-        let more = self.sent < self.inquiry.route.attempts.max(1);
-        let left = self.inquiry.left(self.worker.process.clock.now());
-        self.arrived |= !matches!(ended, Ended::Unsent(_));
-        self.flying = false;
-        self.doubtful |= !ended.is_unrun();
-        match ended {
-            Ended::Unsent(_) => {
-                // It does not count as an attempt.
-                self.sent -= 1;
+    /// Handles a failed attempt: returns the response to the caller, or `None` to try again.
+    fn handle_failure(&mut self, error: &Error) -> Option<Response> {
+        let request = &self.context.facts.request;
+        let more = self.attempts < self.context.route.attempts.max(1);
+        let time_left = self.context.time_left(self.worker.process.clock.now());
+        self.reached_target |= !matches!(error, Error::NotSent(_));
+        self.in_flight = false;
+        self.outcome_unknown |= !error.did_not_run();
+        match error {
+            Error::NotSent(_) => {
+                // Nothing was sent, so this does not count as an attempt.
+                self.attempts -= 1;
                 None
             }
-            Ended::Unrun(_) if more => None,
-            Ended::Unrun(_) if self.doubtful => Some(refuse::lost(request)),
-            Ended::Unrun(_) => Some(refuse::declined(request, come_back(left))),
-            Ended::Unknown("late") => Some(refuse::late(request)),
-            Ended::Unknown(_) if self.inquiry.route.kind.is_idempotent() && more => None,
-            Ended::Unknown(_) => Some(refuse::lost(request)),
+            Error::NotRun(_) if more => None,
+            Error::NotRun(_) if self.outcome_unknown => Some(refuse::answer_lost(request)),
+            Error::NotRun(_) => Some(refuse::declined(request, decline_retry_after(time_left))),
+            Error::Unknown("late") => Some(refuse::timed_out(request)),
+            Error::Unknown(_) if self.context.route.kind.is_idempotent() && more => None,
+            Error::Unknown(_) => Some(refuse::answer_lost(request)),
         }
     }
 
-    /// Whether an attempt may have run, so that a refusal must not say that none has.
+    /// Whether an attempt may have run, in which case a refusal must not say that none has.
     fn may_have_run(&self) -> bool {
-        self.flying || self.doubtful
+        self.in_flight || self.outcome_unknown
     }
 
-    fn held_back(&self, wait: Duration) -> Response {
+    fn quarantined(&self, wait: Duration) -> Response {
         match self.may_have_run() {
-            true => refuse::lost(&self.inquiry.facts.request),
-            false => held::refuse(self.worker, &self.inquiry, wait),
+            true => refuse::answer_lost(&self.context.facts.request),
+            false => quarantine::refuse(self.worker, &self.context, wait),
         }
     }
 
     fn refused(&self, refusal: Refusal) -> Response {
         if self.may_have_run() {
-            return refuse::lost(&self.inquiry.facts.request);
+            return refuse::answer_lost(&self.context.facts.request);
         }
         let now = self.worker.process.clock.now();
-        self.worker.fleet.share_refused(self.inquiry.print, now.since(self.inquiry.wanted));
-        // Callers wait no longer than a part of what they have left.
-        let most = self.inquiry.left(now) / COME_BACK_PART;
-        let retry_after = refusal.retry_after.min(most);
-        refuse::refusal(&self.inquiry.facts.request, &Refusal { retry_after, ..refusal })
+        self.worker
+            .fleet
+            .share_refused(self.context.fingerprint, now.since(self.context.first_sent_at));
+        // The caller needs the rest of its time for the answer.
+        let max = self.context.time_left(now) / RETRY_AFTER_DIVISOR;
+        let retry_after = refusal.retry_after.min(max);
+        refuse::gate_refusal(&self.context.facts.request, &Refusal { retry_after, ..refusal })
     }
 
-    async fn attempt<P: Platform>(&mut self, pass: Pass) -> Result<Response, Ended> {
-        self.sent += 1;
-        self.flying = true;
+    async fn attempt<P: Platform>(&mut self, pass: Pass) -> Result<Response, Error> {
+        self.attempts += 1;
+        self.in_flight = true;
         self.worker.process.note_sent();
-        let backup = Backup::choose(self.worker, &self.inquiry, &pass, pass.target());
-        let extra = Extra { backup: backup.as_ref().map(Backup::address), ..Extra::default() };
-        let begun = attempt::begin::<P>(self.worker, &self.inquiry, pass.target(), &extra).await;
-        let mut begun = match begun {
-            Ok(begun) => begun,
-            Err(ended) => {
-                pass.finish(ended.outcome());
-                return Err(ended);
+        let backup = Backup::choose(self.worker, &self.context, &pass, pass.target());
+        let options =
+            Options { backup: backup.as_ref().map(Backup::address), ..Options::default() };
+        let started = attempt::send::<P>(self.worker, &self.context, pass.target(), &options).await;
+        let mut started = match started {
+            Ok(started) => started,
+            Err(error) => {
+                pass.finish(error.outcome());
+                return Err(error);
             }
         };
-        if begun.response.status != StatusCode::OK {
-            return self.other(pass, &mut begun).await;
+        if started.response.status != StatusCode::OK {
+            return self.forward_unstreamed(pass, &mut started).await;
         }
-        let mut head = Response::build(begun.response.status);
-        for (name, value) in &end_to_end(&begun.response.headers) {
+        let mut head = Response::build(started.response.status);
+        for (name, value) in &end_to_end(&started.response.headers) {
             head.header(name.clone(), value.clone());
         }
-        let (open, inquiry, worker) =
-            (self.open.take(), Rc::clone(&self.inquiry), self.worker.clone());
-        let body = Pump::spawn::<P>(worker, inquiry, pass, backup, begun, self.sent, open);
+        let (open, context, worker) =
+            (self.open.take(), Rc::clone(&self.context), self.worker.clone());
+        let body = Relay::spawn::<P>(worker, context, pass, backup, started, self.attempts, open);
         Ok(head.streaming(body))
     }
 
-    /// An answer that is no stream goes back as it is.
-    async fn other(&self, pass: Pass, begun: &mut Begun) -> Result<Response, Ended> {
-        let Begun { response, sent } = begun;
-        let failed = response.status.is_server_error();
+    /// Forwards an answer that is not a stream, or fails if it is a server error that may be
+    /// retried.
+    async fn forward_unstreamed(
+        &self,
+        pass: Pass,
+        started: &mut Started,
+    ) -> Result<Response, Error> {
+        let Started { response, sent_at } = started;
+        let server_error = response.status.is_server_error();
         let listed = self.worker.process.target(pass.target());
-        pass.finish(if failed { Outcome::ServerError } else { Outcome::Whole });
-        let body = response.read_body(MAX_ANSWER).await.map_err(|_| {
+        pass.finish(if server_error { Outcome::ServerError } else { Outcome::Whole });
+        let body = response.read_body(MAX_ANSWER_BYTES).await.map_err(|_| {
             if let Some(target) = &listed {
-                broken::Run::of(self.worker, &self.inquiry, target, *sent).spawn();
+                liveness::Check::new(self.worker, &self.context, target, *sent_at).spawn();
             }
-            Ended::Unknown("cut")
+            Error::Unknown("cut")
         })?;
-        self.worker.process.note_whole(self.inquiry.print);
-        let more = self.sent < self.inquiry.route.attempts;
-        if failed && more && self.inquiry.route.kind.is_idempotent() {
-            return Err(Ended::Unknown("failed"));
+        self.worker.process.note_whole(self.context.fingerprint);
+        let more = self.attempts < self.context.route.attempts;
+        if server_error && more && self.context.route.kind.is_idempotent() {
+            return Err(Error::Unknown("failed"));
         }
         let mut head = Response::build(response.status);
         for (name, value) in &end_to_end(&response.headers) {
