--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `fireflyhoist-gateway`: the gateway on the product's own wire.
+//! `fireflyhoist-gateway`: the gateway with the product's own names on the wire.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -20,6 +20,6 @@
 async fn main() -> ExitCode {
     match flags().run_inner(Args::current_args()) {
         Ok(flags) => program::run::<Native>("fireflyhoist-gateway", flags.settings).await,
-        Err(failure) => program::explained(&failure),
+        Err(failure) => program::print_usage(&failure),
     }
 }
--- a/crates/gateway/src/process/log.rs
+++ b/crates/gateway/src/process/log.rs
@@ -1,22 +1,23 @@
 //! The log: one line of key=value pairs for each event, on standard output.
 //!
-//! Lines are written by a thread of their own behind a bounded queue. **Failure:** whoever reads
-//! the output stops, the pipe fills, and every request stands still in the middle of a log call.
-//! **Guard:** a full queue drops lines and never waits.
+//! A separate thread writes the lines from a bounded queue. If the reader of the output stops, the
+//! pipe fills up, and direct writes would block every request in a log call; a full queue drops
+//! lines instead of blocking.
 
 use logforth::append::Stdout;
 use logforth::append::asynchronous::AsyncBuilder;
 use logforth::filter::rustlog::RustLogFilterBuilder;
 use logforth::layout::LogfmtLayout;
 
-/// Our own events, and of the libraries only what is wrong; `RUST_LOG` changes it.
+/// The default filter: events of this product, and only warnings and errors of libraries.
+/// `RUST_LOG` overrides it.
 const DEFAULT_FILTER: &str = "warn,fireflyhoist_gateway=info,fireflyhoist_edge=info";
 
-/// Lines that wait for the writer: two seconds at a thousand requests a second with two lines each,
-/// and under a megabyte.
+/// The capacity of the queue in lines: 2 s of log at 1,000 requests a second with two lines each,
+/// in less than 1 MB.
 const BACKLOG: usize = 4_096;
 
-/// Starts the log of this process; a second call changes nothing.
+/// Starts the log of this process. A second call has no effect.
 pub fn start() {
     let filter = RustLogFilterBuilder::from_default_env_or(DEFAULT_FILTER).build();
     let output = Stdout::default().with_layout(LogfmtLayout::default());
@@ -31,21 +32,21 @@
     drop(started);
 }
 
-/// How long a process that ends waits for its last lines to be written.
-const LAST_LINES: std::time::Duration = std::time::Duration::from_millis(200);
+/// How long [`flush`] waits.
+const FLUSH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(200);
 
-/// Gives the last lines a moment to be written.
+/// Waits until queued lines are written, for a bounded time.
 ///
-/// The failure: whoever reads the output has stopped, and a process that drained in time hangs in
-/// its last log call until it is killed. The wait is bounded; the thread ends with the process.
+/// If the reader of the output has stopped, an unbounded flush would block a process that has
+/// drained in time until it is killed. The flushing thread ends with the process.
 pub(crate) fn flush() {
     let (done, flushed) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         log::logger().flush();
-        // Nobody waits any more where the time was up.
+        // The receiver is gone after the timeout.
         let _ = done.send(());
     });
-    if flushed.recv_timeout(LAST_LINES).is_err() {
-        eprintln!("the last lines of the log were not written in time");
+    if flushed.recv_timeout(FLUSH_TIMEOUT).is_err() {
+        eprintln!("the last log lines were not written in time");
     }
 }
--- a/crates/gateway/src/process/serve.rs
+++ b/crates/gateway/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! The listeners of a process.
+//! The listeners and the HTTP servers of a process.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -17,52 +17,53 @@
 use crate::process::state::Process;
 use crate::request::{self, Worker};
 
-/// How long an idle connection of a caller is kept. Above the limit that texts set in use, since
-/// callers use connections again until shortly before it, and one that closes as its caller sends
-/// costs an attempt.
+/// How long an idle connection of a caller is kept open. It exceeds the idle limit that texts in
+/// use set: callers reuse connections until shortly before that limit, and a connection that closes
+/// while its caller sends costs an attempt.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
-/// How long a caller may send less than [`HEAD_RATE`] bytes of a head: what texts in use allow.
+/// How long a caller may send a request head at less than [`HEAD_RATE`]; texts in use allow as
+/// much.
 const HEAD_PAUSE: Seconds = Seconds(3);
 
-/// How long a head may take in all.
+/// How long a request head may take in all.
 const HEAD_LIMIT: Seconds = Seconds(16);
 
-/// Bytes of a head that must arrive within [`HEAD_PAUSE`].
+/// The bytes of a request head that must arrive within [`HEAD_PAUSE`].
 const HEAD_RATE: u32 = 64;
 
-/// Threads that serve callers: one, since hosts have a fraction of a core.
+/// The number of threads that serve callers. One is enough, since hosts have a fraction of a core.
 const WORKERS: usize = 1;
 
-/// Connections that wait to be taken in. A burst of callers that come back together must not
-/// overflow it: their opening packets would be sent again only after a second.
+/// The length of the accept queue. A burst of callers that reconnect together must not overflow it,
+/// because a dropped SYN is retransmitted only after a second.
 const ACCEPT_QUEUE: u32 = 1_024;
 
-/// The bound addresses of a process.
+/// The bound listeners of a process.
 #[derive(Debug)]
 pub(crate) struct Listeners {
     callers: TcpListener,
     readiness: TcpListener,
     directory: TcpListener,
     metrics: TcpListener,
-    /// Where other entries link.
+    /// Accepts links of other entries.
     pub(crate) peers: TcpListener,
 }
 
 impl Listeners {
-    /// Binds every address of the settings and writes the ports that were chosen into them.
+    /// Binds every address of the settings, and sets ports that the system has chosen in them.
     pub(crate) fn bind(settings: &mut Settings) -> Result<Self, StartError> {
         Ok(Self {
-            callers: bound(&mut settings.callers)?,
-            readiness: bound(&mut settings.readiness)?,
-            directory: bound(&mut settings.directory)?,
-            metrics: bound(&mut settings.metrics)?,
-            peers: bound(settings.peers_listen.as_mut().unwrap_or(&mut settings.peers))?,
+            callers: bind(&mut settings.callers)?,
+            readiness: bind(&mut settings.readiness)?,
+            directory: bind(&mut settings.directory)?,
+            metrics: bind(&mut settings.metrics)?,
+            peers: bind(settings.peers_listen.as_mut().unwrap_or(&mut settings.peers))?,
         })
     }
 }
 
-fn bound(address: &mut SocketAddr) -> Result<TcpListener, StartError> {
+fn bind(address: &mut SocketAddr) -> Result<TcpListener, StartError> {
     let listener = listen(*address);
     let listener = listener.map_err(|reason| StartError::Bind { address: *address, reason })?;
     if let Ok(actual) = listener.local_addr() {
@@ -73,14 +74,14 @@
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A process that starts again must not wait until the connections of the last one are
-    // forgotten.
+    // A restarted process must be able to bind while connections of the previous one are in
+    // TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(ACCEPT_QUEUE)?.into_std()
 }
 
-/// Begins to serve.
+/// Starts the servers for callers, readiness, the directory and metrics.
 pub(crate) fn spawn<P: Platform>(
     process: &Arc<Process>,
     fleet: &Arc<Fleet>,
--- a/crates/gateway/src/process/settings.rs
+++ b/crates/gateway/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one gateway, in TOML.
+//! The settings of one gateway, a file in TOML.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,82 +10,85 @@
 use serde::{Deserialize, Deserializer};
 use smol_str::SmolStr;
 
-/// Why settings can't be used.
+/// The settings can't be used.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[display("can't be read ({_0}); see that it exists and is readable")]
     Unreadable(std::io::Error),
-    /// The text is not what the gateway expects.
+    /// The text is not valid TOML, or does not have the expected keys and values.
     #[display("{_0}; correct the line")]
     Malformed(toml::de::Error),
 }
 
-/// One host's settings.
+/// The settings of the gateway on one host.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This host.
+    /// The id of this host.
     pub host: id::Host,
-    /// Its failure domain.
+    /// The failure domain of this host.
     pub domain: id::Domain,
-    /// Where callers connect.
+    /// The address on which callers are served.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// The address of the readiness probe.
     pub readiness: SocketAddr,
-    /// Where callers ask which entries to use.
+    /// The address at which callers look up which entries to use.
     pub directory: SocketAddr,
-    /// Where other entries link to it.
+    /// The address that other entries link to.
     pub peers: SocketAddr,
-    /// Where it listens for their links, if not at `peers`: behind a forwarded port the address
-    /// that others use is none of this host's.
+    /// The address on which links are accepted, if not `peers`. Behind a forwarded port, the
+    /// address that other entries use is not one of this host.
     #[serde(default)]
     pub peers_listen: Option<SocketAddr>,
-    /// Where its metrics are read.
+    /// The address of the metrics.
     pub metrics: SocketAddr,
-    /// How much this host can carry, in cores; callers go to the strongest of each failure domain.
+    /// The capacity of this host, in cores. Callers are sent to the strongest hosts of each failure
+    /// domain.
     pub power: f64,
-    /// Entries to link to first; they may be gone.
+    /// The addresses of entries to link to first. They need not be up.
     pub seeds: Vec<SocketAddr>,
-    /// The registry of texts and targets.
+    /// The address of the registry of texts and targets.
     pub registry: SocketAddr,
-    /// Bounds that the operators set.
+    /// Limits set by the operators.
     pub bounds: Bounds,
 }
 
-/// Bounds that hold for the whole deployment.
+/// Limits for the whole deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Seconds from SIGTERM to the end of the process.
+    /// The grace period: seconds from SIGTERM to the end of the process.
     pub grace_s: f64,
-    /// Retries of all entries together, as a part of requests.
+    /// The retries of all entries together, as a fraction of requests.
     pub retry_ratio: f64,
-    /// Retries of all entries together beyond that part, in one window.
+    /// The retries of all entries together beyond that fraction, in one window.
     pub retry_burst: f64,
-    /// Seconds for which callers keep an answer with addresses, at most.
+    /// The maximum number of seconds for which callers cache an answer with addresses.
     pub entries_ttl_s: f64,
-    /// How many times the requests that a cold target takes it may get in one second.
+    /// The limit of requests that a cold target may receive in one second, as a multiple of the
+    /// requests that it can take.
     #[serde(default = "one", deserialize_with = "one_or_number")]
     pub cold_excess: f64,
-    /// Requests that a cold target may get in one second beyond that.
+    /// The requests that a cold target may receive in one second beyond that multiple.
     #[serde(default, deserialize_with = "zero_or_number")]
     pub cold_margin: f64,
 }
 
-/// A number, or the text of one that a template filled in; empty where the deployment has none.
+/// A number, or a string with one that a template has filled in. The string is empty if the
+/// deployment does not set the number.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Filled {
+enum TemplatedNumber {
     Number(f64),
     Text(SmolStr),
 }
 
-fn number<'de, D: Deserializer<'de>>(input: D, absent: f64) -> Result<f64, D::Error> {
-    let number = match Filled::deserialize(input)? {
-        Filled::Number(number) => number,
-        Filled::Text(text) if text.is_empty() => absent,
-        Filled::Text(text) => text.parse().map_err(D::Error::custom)?,
+fn non_negative<'de, D: Deserializer<'de>>(input: D, default: f64) -> Result<f64, D::Error> {
+    let number = match TemplatedNumber::deserialize(input)? {
+        TemplatedNumber::Number(number) => number,
+        TemplatedNumber::Text(text) if text.is_empty() => default,
+        TemplatedNumber::Text(text) => text.parse().map_err(D::Error::custom)?,
     };
     match number.is_finite() && number >= 0.0 {
         true => Ok(number),
@@ -98,15 +101,15 @@
 }
 
 fn one_or_number<'de, D: Deserializer<'de>>(input: D) -> Result<f64, D::Error> {
-    number(input, one())
+    non_negative(input, one())
 }
 
 fn zero_or_number<'de, D: Deserializer<'de>>(input: D) -> Result<f64, D::Error> {
-    number(input, 0.0)
+    non_negative(input, 0.0)
 }
 
 impl Bounds {
-    /// From SIGTERM to the end of the process.
+    /// Returns the grace period, from SIGTERM to the end of the process.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s.max(0.0))
     }
@@ -119,7 +122,7 @@
         Self::parse(&text)
     }
 
-    /// Reads settings from their text.
+    /// Parses the text of a settings file.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         toml::from_str(text).map_err(SettingsError::Malformed)
     }
--- a/crates/gateway/src/program.rs
+++ b/crates/gateway/src/program.rs
@@ -1,4 +1,4 @@
-//! What every program around a gateway does: settings, log, serving, and how it ends.
+//! What every gateway program does: it reads settings, starts the log, serves, and exits.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,21 +8,22 @@
 use crate::platform::Platform;
 use crate::{Gateway, Settings, start_log};
 
-/// Exit code of a wrong command line or settings file.
-const USAGE: u8 = 2;
+/// The exit code for an invalid command line or settings file.
+const USAGE_ERROR: u8 = 2;
 
-/// The widest help text in columns.
+/// The maximum width of the help text, in columns.
 const HELP_WIDTH: usize = 100;
 
 /// Serves with the settings in `path` until SIGTERM.
 ///
-/// Settings that can't be used end the program with code 2 and the remedy, before anything listens.
+/// With settings that can't be used, the program prints the error and its remedy and exits with
+/// code 2 before it listens anywhere.
 pub async fn run<P: Platform>(name: &str, path: PathBuf) -> ExitCode {
     let settings = match Settings::open(&path) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{name}: {}: {error}", path.display());
-            return ExitCode::from(USAGE);
+            return ExitCode::from(USAGE_ERROR);
         }
     };
     start_log();
@@ -34,8 +35,8 @@
         }
     };
     match gateway.run().await {
-        // Guards against a process that has drained and is killed at the end of its grace: the
-        // runtime would wait for connections that idle callers keep open.
+        // Returning would let the runtime wait for connections that idle callers keep open, and the
+        // drained process would be killed at the end of its grace period.
         Ok(()) => std::process::exit(0),
         Err(error) => {
             eprintln!("{name}: {error}");
@@ -44,11 +45,12 @@
     }
 }
 
-/// Prints help, version, completions or what is wrong with the command line.
-pub fn explained(failure: &ParseFailure) -> ExitCode {
+/// Prints help, the version, completions, or the error in the command line, and returns the exit
+/// code.
+pub fn print_usage(failure: &ParseFailure) -> ExitCode {
     failure.print_message(HELP_WIDTH);
     match failure {
-        ParseFailure::Stderr(_) => ExitCode::from(USAGE),
+        ParseFailure::Stderr(_) => ExitCode::from(USAGE_ERROR),
         _ => ExitCode::SUCCESS,
     }
 }
