--- a/crates/gateway/src/process/metrics.rs
+++ b/crates/gateway/src/process/metrics.rs
@@ -1,7 +1,8 @@
-//! Counters and latency histograms by opentelemetry, read in Prometheus' text format.
+//! Counters, gauges and latency histograms of OpenTelemetry, exported in the Prometheus text
+//! format.
 //!
-//! Labels are kinds of request and outcomes only, never workspaces or callers, so that the page
-//! stays small at any number of either. `docs/OPERATIONS.md` lists the names.
+//! Labels are kinds of requests and outcomes only, never workspaces or callers, so that the number
+//! of time series does not grow with either.
 
 use std::time::Duration;
 
@@ -14,25 +15,26 @@
 use crate::connection::traffic::Traffic;
 use crate::request::broken::Fate;
 
-/// Bounds of latency histograms in seconds, close together around the objectives in use.
-const BOUNDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.5, 1.0, 1.8, 5.0, 15.0, 60.0];
+/// Bucket bounds of latency histograms in seconds, dense around the objectives in use.
+const LATENCY_BOUNDS_S: [f64; 12] =
+    [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.5, 1.0, 1.8, 5.0, 15.0, 60.0];
 
-/// What gauges show.
+/// The current values of the gauges.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Now {
-    /// Requests in progress.
+pub(crate) struct GaugeValues {
+    /// Requests in flight.
     pub(crate) open: usize,
     /// The revision of the text in force.
     pub(crate) revision: u64,
-    /// How often the registry has come back from a copy.
+    /// How often the registry was restored from a copy.
     pub(crate) era: u64,
-    /// Requests known to end their targets.
+    /// Requests that are suspected to crash their targets.
     pub(crate) held: usize,
-    /// Targets that name a limit.
+    /// Targets that advertise a limit.
     pub(crate) limited: usize,
-    /// Failure domains that are cordoned.
+    /// Cordoned failure domains.
     pub(crate) cordoned: usize,
-    /// Targets that are cold.
+    /// Cold targets, which have started recently.
     pub(crate) cold: usize,
 }
 
@@ -40,20 +42,20 @@
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Kept because instruments end with their provider.
+    /// Instruments stop working when their provider is dropped.
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     attempts: Counter<u64>,
-    broken: Counter<u64>,
-    held: Counter<u64>,
-    restored: Counter<u64>,
-    older: Counter<u64>,
-    kept_off: Counter<u64>,
+    broken_runs: Counter<u64>,
+    held_back: Counter<u64>,
+    registry_restores: Counter<u64>,
+    older_eras_refused: Counter<u64>,
+    limited_sends: Counter<u64>,
     carried: Counter<u64>,
-    calls: Counter<u64>,
-    first: Histogram<f64>,
+    registry_calls: Counter<u64>,
+    answer_begins: Histogram<f64>,
     era: Gauge<u64>,
-    suspects: Gauge<u64>,
+    held_requests: Gauge<u64>,
     limited: Gauge<u64>,
     cordoned: Gauge<u64>,
     cold: Gauge<u64>,
@@ -63,7 +65,7 @@
 }
 
 impl Metrics {
-    /// `None` where the exporter can't be set up.
+    /// Creates the metrics; `None` if the exporter can't be set up.
     pub(crate) fn open() -> Option<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -83,33 +85,33 @@
         Some(Self {
             requests: counter("fireflyhoist.requests", "Requests by kind and status"),
             attempts: counter("fireflyhoist.attempts", "Attempts at targets by outcome"),
-            broken: counter(
+            broken_runs: counter(
                 "fireflyhoist.broken_runs",
                 "Runs that broke off, by what became of the target",
             ),
-            kept_off: counter(
+            limited_sends: counter(
                 "fireflyhoist.limited_sends",
                 "Requests for targets that take only so much, by reason and decision",
             ),
-            restored: counter(
+            registry_restores: counter(
                 "fireflyhoist.registry_restores",
                 "Times that the registry came back from a copy",
             ),
-            older: counter(
+            older_eras_refused: counter(
                 "fireflyhoist.older_eras_refused",
                 "Lists of an earlier era that were refused",
             ),
-            held: counter(
+            held_back: counter(
                 "fireflyhoist.held_back",
                 "Requests under which targets ended, by decision",
             ),
             carried: counter("fireflyhoist.carried", "Answers carried to another target, by way"),
-            calls: counter("fireflyhoist.registry_calls", "Calls of the registry"),
-            first: meter
+            registry_calls: counter("fireflyhoist.registry_calls", "Calls of the registry"),
+            answer_begins: meter
                 .f64_histogram("fireflyhoist.answer_begins")
                 .with_unit("s")
                 .with_description("From a request's arrival to the head of its answer, by kind")
-                .with_boundaries(BOUNDS.to_vec())
+                .with_boundaries(LATENCY_BOUNDS_S.to_vec())
                 .build(),
             limited: gauge("fireflyhoist.limited_targets", "Targets that name a limit"),
             cold: gauge("fireflyhoist.cold_targets", "Targets that are cold"),
@@ -118,7 +120,10 @@
                 "fireflyhoist.registry_era",
                 "How often the registry came back from a copy, as it says",
             ),
-            suspects: gauge("fireflyhoist.held_requests", "Requests known to end their targets"),
+            held_requests: gauge(
+                "fireflyhoist.held_requests",
+                "Requests known to end their targets",
+            ),
             open: gauge("fireflyhoist.open_requests", "Requests in progress"),
             revision: gauge("fireflyhoist.revision", "Revision of the text in force"),
             traffic: Traffic::open(&meter),
@@ -127,61 +132,70 @@
         })
     }
 
+    /// Counts a request, and records the time from its arrival to the head of its answer.
     pub(crate) fn request(&self, kind: &'static str, status: u16, elapsed: Duration) {
         let kind = KeyValue::new("kind", kind);
-        self.first.record(elapsed.as_secs_f64(), std::slice::from_ref(&kind));
+        self.answer_begins.record(elapsed.as_secs_f64(), std::slice::from_ref(&kind));
         self.requests.add(1, &[kind, KeyValue::new("status", i64::from(status))]);
     }
 
+    /// Counts an attempt at a target.
     pub(crate) fn attempt(&self, outcome: &'static str) {
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    pub(crate) fn broken(&self, fate: Fate) {
-        self.broken.add(1, &[KeyValue::new("target", fate.to_string())]);
+    /// Counts a run that broke off, by the fate of its target.
+    pub(crate) fn broken_run(&self, fate: Fate) {
+        self.broken_runs.add(1, &[KeyValue::new("target", fate.to_string())]);
     }
 
-    pub(crate) fn limited(&self, why: Exclusion, decision: &'static str) {
+    /// Counts a decision on a request for a limited or cold target.
+    pub(crate) fn limited_send(&self, why: Exclusion, decision: &'static str) {
         let why = KeyValue::new("target", why.to_string());
-        self.kept_off.add(1, &[why, KeyValue::new("decision", decision)]);
+        self.limited_sends.add(1, &[why, KeyValue::new("decision", decision)]);
     }
 
-    pub(crate) fn restored(&self) {
-        self.restored.add(1, &[]);
+    /// Counts a restore of the registry from a copy.
+    pub(crate) fn registry_restore(&self) {
+        self.registry_restores.add(1, &[]);
     }
 
-    pub(crate) fn older(&self) {
-        self.older.add(1, &[]);
+    /// Counts a list of an earlier era that was refused.
+    pub(crate) fn older_era_refused(&self) {
+        self.older_eras_refused.add(1, &[]);
     }
 
-    pub(crate) fn held(&self, decision: &'static str) {
-        self.held.add(1, &[KeyValue::new("decision", decision)]);
+    /// Counts a decision on a request that is suspected to crash its target.
+    pub(crate) fn held_back(&self, decision: &'static str) {
+        self.held_back.add(1, &[KeyValue::new("decision", decision)]);
     }
 
+    /// Counts an answer that continued at another target, by the way it got there.
     pub(crate) fn carried(&self, way: &'static str) {
         self.carried.add(1, &[KeyValue::new("way", way)]);
     }
 
+    /// Counts a call of the registry.
     pub(crate) fn registry_call(&self) {
-        self.calls.add(1, &[]);
+        self.registry_calls.add(1, &[]);
     }
 
-    /// The part that links count in.
+    /// Returns the counters of traffic on links.
     pub(crate) fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    /// All metrics in the text format, with what is read of the process now.
-    pub(crate) fn page(&self, now: Now) -> String {
-        self.open.record(now.open as u64, &[]);
-        self.revision.record(now.revision, &[]);
-        self.era.record(now.era, &[]);
-        self.suspects.record(now.held as u64, &[]);
-        self.limited.record(now.limited as u64, &[]);
-        self.cordoned.record(now.cordoned as u64, &[]);
-        self.cold.record(now.cold as u64, &[]);
+    /// Returns all metrics in the text format, with the given values of the gauges.
+    pub(crate) fn page(&self, gauges: GaugeValues) -> String {
+        self.open.record(gauges.open as u64, &[]);
+        self.revision.record(gauges.revision, &[]);
+        self.era.record(gauges.era, &[]);
+        self.held_requests.record(gauges.held as u64, &[]);
+        self.limited.record(gauges.limited as u64, &[]);
+        self.cordoned.record(gauges.cordoned as u64, &[]);
+        self.cold.record(gauges.cold as u64, &[]);
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_else(|error| {
-            ::log::warn!(error:% = error; "metrics can't be written");
+            ::log::warn!(error:% = error; "metrics can't be encoded");
             String::new()
         })
     }
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -277,7 +277,7 @@
     pub(crate) fn note_era(&self, era: u64, source: &str) -> bool {
         let before = self.era.fetch_max(era, Ordering::AcqRel);
         if era > before {
-            self.metrics.restored();
+            self.metrics.registry_restore();
             ::log::warn!(
                 era = era, before = before, source = source;
                 "registry came back from an older copy"
@@ -293,7 +293,7 @@
 
     /// Notes that something of an earlier era was not taken.
     pub(crate) fn refuse_older(&self, known: Position, told: Position, source: &str) {
-        self.metrics.older();
+        self.metrics.older_era_refused();
         ::log::info!(known:% = known, told:% = told, source = source; "targets of an earlier era refused");
     }
 
--- a/crates/gateway/src/request/admit.rs
+++ b/crates/gateway/src/request/admit.rs
@@ -64,7 +64,7 @@
         Question::Send(_) | Question::Trial(_) => Exclusion::Limited,
     };
     let wait = worker.fleet.ask(question, SEND_TIMEOUT).await;
-    worker.process.metrics.limited(why, if wait.is_some() { "elsewhere" } else { "sent" });
+    worker.process.metrics.limited_send(why, if wait.is_some() { "elsewhere" } else { "sent" });
     wait.map(|wait| (why, wait))
 }
 
--- a/crates/gateway/src/request/broken.rs
+++ b/crates/gateway/src/request/broken.rs
@@ -80,7 +80,7 @@
     /// Notes what became of the target of a run that broke off at `at`.
     fn note(&self, fate: Fate, at: Time) {
         let lasted = at.since(self.sent);
-        self.process.metrics.broken(fate);
+        self.process.metrics.broken_run(fate);
         let ends = match fate {
             Fate::Ended => self.process.note_end(at, self.print, &self.target, lasted),
             Fate::Lives => {
--- a/crates/gateway/src/request/held.rs
+++ b/crates/gateway/src/request/held.rs
@@ -52,7 +52,7 @@
 }
 
 fn note(worker: &Worker, inquiry: &Inquiry, decision: &'static str, wait: Duration) {
-    worker.process.metrics.held(decision);
+    worker.process.metrics.held_back(decision);
     log::info!(
         request = inquiry.facts.request.as_str(), print:% = inquiry.print, decision = decision,
         ends = worker.process.ends(inquiry.print), retry_after_ms = millis(wait); "held back"
--- a/crates/gateway/src/request/probe.rs
+++ b/crates/gateway/src/request/probe.rs
@@ -3,7 +3,7 @@
 use ntex::http::{Request, Response};
 
 use crate::platform::Platform;
-use crate::process::metrics::Now;
+use crate::process::metrics::GaugeValues;
 use crate::process::state::Process;
 
 /// Whether callers should come here.
@@ -19,7 +19,7 @@
 
 /// The metrics of this process.
 pub(crate) fn metrics(process: &Process) -> Response {
-    let page = process.metrics.page(Now {
+    let page = process.metrics.page(GaugeValues {
         open: process.open_requests(),
         revision: process.revision(),
         era: process.era(),
