--- a/crates/daemon/src/connection/load.rs
+++ b/crates/daemon/src/connection/load.rs
@@ -29,7 +29,7 @@
         service.targets.iter().map(async |target| {
             let load = read(worker, target.address).await;
             if let (Some(load), Some(lane)) = (load, worker.process.lane(&service.name)) {
-                lane.report(&target.name, &load.report, Duration::from_millis(load.age_ms));
+                lane.apply_report(&target.name, &load.report, Duration::from_millis(load.age_ms));
             }
         })
     });
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -43,7 +43,7 @@
 use crate::process::tickets::Tickets;
 use crate::request;
 use crate::version::{Snapshot, watch};
-use fireflyhoist_gateway::Lane;
+use fireflyhoist_gateway::ServiceGate;
 
 /// How often a drain looks whether requests are still in progress.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
@@ -84,7 +84,7 @@
     pub(crate) control: Control,
     snapshot: RwLock<Option<Arc<Snapshot>>>,
     hosts: RwLock<Arc<Hosts>>,
-    lanes: RwLock<HashMap<id::Service, Arc<Lane>>>,
+    lanes: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
     pub(crate) limits: Arc<Limits>,
     burn: Arc<Recorder>,
     refused: RwLock<Option<String>>,
@@ -145,7 +145,7 @@
     }
 
     /// The lane of a service of the version in force.
-    pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<Lane>> {
+    pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
         self.lanes.read().get(service).cloned()
     }
 
@@ -312,16 +312,17 @@
         self.burn.retain(|name| snapshot.text.service(name).is_some());
         for service in &snapshot.text.services {
             let usable = service.targets.iter().filter(|t| !self.control.is_leaving(&t.host));
-            let lane = lanes.entry(service.name.clone()).or_insert_with(|| Lane::open(self.clock));
+            let lane =
+                lanes.entry(service.name.clone()).or_insert_with(|| ServiceGate::open(self.clock));
             let between = Duration::from_millis(service.objective.between_tokens_ms);
-            lane.set_terms(&weights, between);
+            lane.configure(&weights, between);
             lane.set_entries(entries.len(), own);
             lane.set_targets(usable.map(|t| t.name.clone()).collect());
         }
     }
 
     fn poll_lanes(&self) {
-        let lanes: Vec<Arc<Lane>> = self.lanes.read().values().cloned().collect();
+        let lanes: Vec<Arc<ServiceGate>> = self.lanes.read().values().cloned().collect();
         lanes.iter().for_each(|lane| lane.poll());
     }
 
--- a/crates/daemon/src/request/completion.rs
+++ b/crates/daemon/src/request/completion.rs
@@ -31,7 +31,7 @@
 use crate::request::relay::{Attempt, Job, Relay};
 use crate::request::{entries, refuse};
 use crate::version::Snapshot;
-use fireflyhoist_gateway::{Lane, Pass};
+use fireflyhoist_gateway::{Pass, ServiceGate};
 
 /// The most tokens of an answer where the caller names no bound.
 const DEFAULT_MAX_TOKENS: u64 = 65_536;
@@ -88,7 +88,7 @@
     worker: &'a Worker,
     http: &'a HttpRequest,
     open: Rc<Open>,
-    lane: Arc<Lane>,
+    lane: Arc<ServiceGate>,
     service: &'a Service,
     snapshot: &'a Snapshot,
 }
--- a/crates/daemon/src/request/relay.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -24,7 +24,7 @@
 use crate::process::{Open, Worker};
 use crate::request::outlet::{Gone, Head, Outlet};
 use crate::request::refuse;
-use fireflyhoist_gateway::{Lane, Pass};
+use fireflyhoist_gateway::{Pass, ServiceGate};
 
 /// Tokens between two notes to the gate; each takes the lane's lock.
 const PROGRESS_EVERY: u64 = 16;
@@ -71,7 +71,7 @@
 pub(crate) struct Relay {
     pub(crate) worker: Worker,
     pub(crate) open: Rc<Open>,
-    pub(crate) lane: Arc<Lane>,
+    pub(crate) lane: Arc<ServiceGate>,
     pub(crate) job: Job,
     pub(crate) session: Session,
     pub(crate) attempt: Attempt,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway: any request that a route describes, carried to a target and back.
+//! The gateway forwards any request that a route describes to a target, and returns the answer.
 //!
-//! Decisions stand in `fireflyhoist-policy`; this crate does the I/O around them and keeps the
-//! state that lives as long as a process. What a deployment calls things on the wire is behind the
-//! traits of [`platform`]: the product's own names are in [`native`], others in adapters outside
-//! this crate. Modules are grouped by life span, as `docs/DESIGN.md` says.
+//! Decisions are made in `fireflyhoist-policy`; this crate does the I/O and holds the state that
+//! lives as long as the process. The names that a deployment uses on the wire are behind the traits
+//! of [`platform`]: the product's own are in [`native`], others in adapters outside this crate.
+//! Modules are grouped by the lifetime of their state: connection, process, request and version.
 
 pub(crate) mod connection;
 pub mod header;
@@ -15,7 +15,7 @@
 pub(crate) mod version;
 
 pub use process::clock::Clock;
-pub use process::lane::{Lane, Pass, View};
 pub use process::log::start as start_log;
+pub use process::service_gate::{Pass, ServiceGate, TargetLoad};
 pub use process::settings::{Settings, SettingsError};
 pub use process::{Gateway, StartError};
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -3,10 +3,10 @@
 pub(crate) mod clock;
 pub(crate) mod fleet;
 pub(crate) mod kept;
-pub(crate) mod lane;
 pub(crate) mod log;
 pub(crate) mod metrics;
 pub(crate) mod serve;
+pub(crate) mod service_gate;
 pub(crate) mod settings;
 pub(crate) mod state;
 pub(crate) mod turn;
--- /dev/null
+++ b/crates/gateway/src/process/service_gate.rs
@@ -0,0 +1,324 @@
+//! The gate of one service behind a lock, with the requests that wait for its decision.
+//!
+//! Each service has a lock of its own, so services never contend with each other.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::sync::Arc;
+use std::time::Duration;
+
+use fireflyhoist_policy::exclusion::Exclusion;
+use fireflyhoist_policy::gate::{
+    Gate, Holding, Outcome, Placement, Reason, Refusal, Report, Request, Settings, Verdict,
+};
+use fireflyhoist_policy::id;
+use fireflyhoist_policy::observation::{self, Observer};
+use fireflyhoist_policy::retry;
+use fireflyhoist_policy::stagger::Order;
+use fireflyhoist_policy::unit::Tokens;
+use parking_lot::Mutex;
+use smol_str::{SmolStr, format_smolstr};
+use tokio::sync::oneshot;
+
+use crate::process::clock::Clock;
+
+/// The delay before the callers of a removed service should retry. A text that adds the service
+/// again takes seconds to come into force.
+const REMOVED_RETRY: Duration = Duration::from_secs(10);
+
+/// The load of all entries together at one target.
+#[derive(Clone, Debug)]
+pub struct TargetLoad {
+    /// The target.
+    pub target: id::Target,
+    /// The memory and the answers in flight there.
+    pub report: Report,
+    /// Prompt tokens of other entries whose prefill is not done.
+    pub unread: Tokens,
+}
+
+/// The gate of one service and the requests that wait for it.
+#[derive(Debug)]
+pub struct ServiceGate {
+    clock: Clock,
+    state: Mutex<State>,
+}
+
+#[derive(Debug)]
+struct State {
+    gate: Gate,
+    waiters: HashMap<id::Request, oneshot::Sender<Verdict>>,
+}
+
+impl ServiceGate {
+    /// Creates a gate with default settings.
+    pub fn open(clock: Clock) -> Arc<Self> {
+        Self::with_settings(clock, Settings::default())
+    }
+
+    /// Creates a gate with the given settings.
+    pub fn with_settings(clock: Clock, settings: Settings) -> Arc<Self> {
+        let state = State { gate: Gate::open(settings), waiters: HashMap::new() };
+        Arc::new(Self { clock, state: Mutex::new(state) })
+    }
+
+    /// Applies the outcome of a request of another entry at a target; see [`Gate::apply_outcome`].
+    pub fn apply_outcome(
+        &self,
+        target: &id::Target,
+        from: Observer,
+        outcome: observation::Outcome,
+    ) {
+        self.state.lock().gate.apply_outcome(self.clock.now(), target, from, outcome);
+    }
+
+    /// Takes the outcomes of this entry's requests that are to be announced to other entries.
+    pub fn take_outcomes(&self) -> Vec<(id::Target, observation::Outcome)> {
+        self.state.lock().gate.take_outcomes()
+    }
+
+    /// Replaces the targets. Requests that are in flight at a removed target continue.
+    pub fn set_targets(&self, targets: Vec<id::Target>) {
+        self.set_targets_and_cordons(targets, &BTreeSet::new());
+    }
+
+    /// Replaces the targets, and sets which are in cordoned failure domains; see
+    /// [`Gate::set_cordoned`].
+    pub fn set_targets_and_cordons(
+        &self,
+        targets: Vec<id::Target>,
+        cordoned: &BTreeSet<id::Target>,
+    ) {
+        let now = self.clock.now();
+        let mut state = self.state.lock();
+        state.gate.set_targets(now, targets);
+        state.gate.set_cordoned(now, cordoned);
+        drop(state);
+        self.poll();
+    }
+
+    /// Returns the number of excluded targets by reason, as `REASON:COUNT` separated by spaces.
+    pub fn exclusions(&self) -> SmolStr {
+        let counts = self.state.lock().gate.exclusions(self.clock.now());
+        let words = counts.iter().map(|(why, count)| format!("{why}:{count}"));
+        words.collect::<Vec<_>>().join(" ").into()
+    }
+
+    /// Sets which entries send to the targets; see [`Gate::set_order`].
+    pub fn set_order(&self, order: Order) {
+        self.state.lock().gate.set_order(order);
+    }
+
+    /// Sets the retry budget of this entry.
+    pub fn set_retries(&self, terms: retry::Limits) {
+        self.state.lock().gate.set_retries(terms);
+    }
+
+    /// Records that a target has restarted.
+    pub fn restarted(&self, target: &id::Target) {
+        self.state.lock().gate.restarted(self.clock.now(), target);
+    }
+
+    /// Applies the values of the text in force: the weights of workspaces, and the objective of the
+    /// service for the time between tokens.
+    pub fn configure(&self, weights: &BTreeMap<id::Workspace, f64>, token_interval: Duration) {
+        let mut state = self.state.lock();
+        state.gate.set_weights(weights.clone());
+        state.gate.set_token_interval(token_interval);
+    }
+
+    /// Refuses all waiting requests, because the service is no longer in the text.
+    ///
+    /// Without this, waiting requests would never be answered, not even at their deadlines: the
+    /// gate of a removed service is no longer polled. Requests that are in flight continue to their
+    /// end.
+    pub fn close(&self) {
+        let now = self.clock.now();
+        let mut state = self.state.lock();
+        let waiters = std::mem::take(&mut state.waiters);
+        for (request, waiter) in waiters {
+            state.gate.finish(now, request, Outcome::Cancelled);
+            let refusal = Refusal { reason: Reason::NoTarget, retry_after: REMOVED_RETRY };
+            // The receiver is dropped if the request was cancelled.
+            let _ = waiter.send(Verdict::Refuse(refusal));
+        }
+    }
+
+    /// Sets the number of entries in the published host list, and the index of this one.
+    pub fn set_entries(&self, entries: usize, own: Option<usize>) {
+        self.state.lock().gate.set_entries(self.clock.now(), entries, own);
+    }
+
+    /// Applies a report that was made at its engine `age` ago.
+    pub fn apply_report(&self, target: &id::Target, report: &Report, age: Duration) {
+        self.state.lock().gate.report(self.clock.now(), target, report, age);
+        self.poll();
+    }
+
+    /// Waits for the decision on a request, and returns a pass for the target that was chosen.
+    pub async fn admit(self: &Arc<Self>, request: Request) -> Result<Pass, Refusal> {
+        let id = request.id;
+        let (verdict, waiter) = {
+            let mut state = self.state.lock();
+            let verdict = state.gate.offer(self.clock.now(), &mut rand::rng(), request);
+            let waiter = (verdict == Verdict::Wait).then(|| {
+                let (sender, receiver) = oneshot::channel();
+                state.waiters.insert(id, sender);
+                receiver
+            });
+            (verdict, waiter)
+        };
+        // The gate counts the request from here on. The pass releases what it holds if it is
+        // dropped, or if this future is dropped while it waits.
+        let mut pass = Pass { gate: Arc::clone(self), request: id, target: None, done: false };
+        let verdict = match waiter {
+            Some(receiver) => receiver.await.unwrap_or(verdict),
+            None => verdict,
+        };
+        match verdict {
+            Verdict::Send(target) => {
+                pass.target = Some(target);
+                Ok(pass)
+            }
+            Verdict::Refuse(refusal) => {
+                pass.done = true;
+                Err(refusal)
+            }
+            Verdict::Wait => unreachable!("a waiting request is decided by Send or Refuse"),
+        }
+    }
+
+    /// Lets the gate decide on waiting requests, and notifies those that it decides.
+    pub fn poll(&self) {
+        let mut state = self.state.lock();
+        let decided = state.gate.poll(self.clock.now(), &mut rand::rng());
+        for (request, verdict) in decided {
+            if let Some(waiter) = state.waiters.remove(&request) {
+                // A cancelled request releases its place when its pass is dropped.
+                let _ = waiter.send(verdict);
+            }
+        }
+    }
+
+    /// Returns why a target is ejected and for how long, as shown to operators; `None` if it is not
+    /// ejected.
+    pub fn ejection(&self, target: &id::Target) -> Option<SmolStr> {
+        let now = self.clock.now();
+        let ejection = self.state.lock().gate.ejection(now, target)?;
+        let left = ejection.until.since(now).as_secs();
+        Some(format_smolstr!("{}; tried again in {left} s", ejection.cause))
+    }
+
+    /// Sends no more requests to a target for `wait`; see [`Gate::suspend`].
+    pub fn suspend_target(&self, target: &id::Target, wait: Duration, why: Exclusion) {
+        self.state.lock().gate.suspend(self.clock.now(), target, wait, why);
+    }
+
+    /// Whether the targets have room for the answers of targets that leave; see
+    /// [`Gate::has_spare_capacity`].
+    pub fn has_spare_capacity(&self) -> bool {
+        self.state.lock().gate.has_spare_capacity()
+    }
+
+    /// Returns what this entry's in-flight requests hold at each target.
+    pub fn holdings(&self) -> Vec<Holding> {
+        self.state.lock().gate.holdings().collect()
+    }
+
+    /// Updates the current load of all entries together at several targets.
+    pub fn update_loads(&self, loads: &[TargetLoad]) {
+        let now = self.clock.now();
+        let mut state = self.state.lock();
+        for load in loads {
+            state.gate.report(now, &load.target, &load.report, Duration::ZERO);
+            state.gate.set_unread(&load.target, load.unread);
+        }
+        drop(state);
+        self.poll();
+    }
+
+    fn finish(&self, request: id::Request, outcome: Outcome) {
+        {
+            let mut state = self.state.lock();
+            state.waiters.remove(&request);
+            state.gate.finish(self.clock.now(), request, outcome);
+        }
+        self.poll();
+    }
+}
+
+/// The permission to use one target for one request. If it is dropped without
+/// [`finish`](Self::finish), the request counts as cancelled.
+#[derive(Debug)]
+pub struct Pass {
+    gate: Arc<ServiceGate>,
+    request: id::Request,
+    target: Option<id::Target>,
+    done: bool,
+}
+
+impl Pass {
+    /// Returns the target that was chosen.
+    pub fn target(&self) -> &id::Target {
+        self.target.as_ref().expect("an admitted request has a target")
+    }
+
+    /// Records that the answer has `produced` tokens in all. `started` is set for the first token,
+    /// after which the target can take the next prompt.
+    pub fn progress(&self, produced: Tokens, started: bool) {
+        let now = self.gate.clock.now();
+        self.gate.state.lock().gate.progress(now, self.request, produced);
+        if started {
+            self.gate.poll();
+        }
+    }
+
+    /// Returns the id of the request.
+    pub fn request(&self) -> id::Request {
+        self.request
+    }
+
+    /// Returns the state of the target when it was chosen; see [`Gate::grounds`].
+    pub fn grounds(&self) -> Option<Placement> {
+        self.gate.state.lock().gate.grounds(self.request)
+    }
+
+    /// Returns the targets to copy or migrate the answer's memory to, best first; see
+    /// [`Gate::migration_targets`].
+    pub fn migration_targets(
+        &self,
+        near: &BTreeSet<id::Target>,
+        reserve: Option<f64>,
+    ) -> Vec<id::Target> {
+        let now = self.gate.clock.now();
+        let mut state = self.gate.state.lock();
+        state.gate.migration_targets(now, &mut rand::rng(), self.request, near, reserve)
+    }
+
+    /// Takes a retry from the budget to restart the answer at another target; see
+    /// [`Gate::try_repeat`].
+    pub fn try_repeat(&self) -> bool {
+        self.gate.state.lock().gate.try_repeat()
+    }
+
+    /// Records that the answer continues at another target.
+    pub fn transfer(&mut self, to: &id::Target) {
+        let now = self.gate.clock.now();
+        self.gate.state.lock().gate.transfer(now, self.request, to);
+        self.target = Some(to.clone());
+        self.gate.poll();
+    }
+
+    /// Releases the target and records the outcome of the request.
+    pub fn finish(mut self, outcome: Outcome) {
+        self.done = true;
+        self.gate.finish(self.request, outcome);
+    }
+}
+
+impl Drop for Pass {
+    fn drop(&mut self) {
+        if !self.done {
+            self.gate.finish(self.request, Outcome::Cancelled);
+        }
+    }
+}
--- a/crates/gateway/src/process/state/holdings.rs
+++ b/crates/gateway/src/process/state/holdings.rs
@@ -8,7 +8,7 @@
 use fireflyhoist_policy::unit::Tokens;
 
 use crate::connection::frame::{Held, sum};
-use crate::process::lane::{Lane, View};
+use crate::process::service_gate::{ServiceGate, TargetLoad};
 use crate::process::state::Process;
 
 impl Process {
@@ -24,7 +24,7 @@
 
     /// What this entry holds at each target.
     pub(crate) fn held(&self) -> Vec<Held> {
-        let lanes: Vec<Arc<Lane>> = self.lanes.read().values().cloned().collect();
+        let lanes: Vec<Arc<ServiceGate>> = self.lanes.read().values().cloned().collect();
         let mut held: Vec<Held> = Vec::new();
         for holding in lanes.iter().flat_map(|lane| lane.holdings()) {
             let Holding { target, tokens, streams, unread } = holding;
@@ -79,7 +79,7 @@
                 continue;
             };
             let leases = self.leases.lock();
-            let views: Vec<View> = leases
+            let views: Vec<TargetLoad> = leases
                 .ready(&service.name)
                 .map(|target| {
                     let sum = sums.get(&target.id).copied().unwrap_or_default();
@@ -87,11 +87,11 @@
                     let report =
                         Report { capacity, used, running: sum.streams, ..Report::default() };
                     let unread = Tokens::new(sum.others_unread);
-                    View { target: target.id.clone(), report, unread }
+                    TargetLoad { target: target.id.clone(), report, unread }
                 })
                 .collect();
             drop(leases);
-            lane.look(&views);
+            lane.update_loads(&views);
         }
     }
 }
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -29,8 +29,8 @@
 
 use crate::connection::frame::Held;
 use crate::process::clock::Clock;
-use crate::process::lane::Lane;
 use crate::process::metrics::Metrics;
+use crate::process::service_gate::ServiceGate;
 use crate::process::settings::{Bounds, Settings};
 use crate::process::state::poison::Poison;
 
@@ -63,7 +63,7 @@
     bounds: RwLock<Bounds>,
     seeds: RwLock<Vec<std::net::SocketAddr>>,
     table: RwLock<Option<Arc<Table>>>,
-    lanes: RwLock<HashMap<id::Service, Arc<Lane>>>,
+    lanes: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
     /// The entries that carry the traffic.
     order: Mutex<Order>,
     leases: Mutex<Leases>,
@@ -187,7 +187,8 @@
         let mut lanes = self.lanes.write();
         for service in &table.text().services {
             let lane = lanes.entry(service.name.clone());
-            lane.or_insert_with(|| Lane::of(self.clock, self.terms())).set_order(order.clone());
+            lane.or_insert_with(|| ServiceGate::with_settings(self.clock, self.terms()))
+                .set_order(order.clone());
         }
     }
 
@@ -232,7 +233,7 @@
         }
     }
 
-    pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<Lane>> {
+    pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
         self.lanes.read().get(service).cloned()
     }
 
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use crate::connection::frame::Ending;
-use crate::process::lane::Lane;
+use crate::process::service_gate::ServiceGate;
 use crate::process::state::Process;
 
 impl Process {
@@ -28,11 +28,11 @@
     /// How requests ended at targets, as far as other entries should hear of it.
     pub(crate) fn take_endings(&self) -> Vec<Ending> {
         let lanes = self.lanes.read();
-        let of = |(service, lane): (&id::Service, &Arc<Lane>)| {
+        let of = |(service, lane): (&id::Service, &Arc<ServiceGate>)| {
             let service = service.clone();
             let ending =
                 move |(target, outcome)| Ending { service: service.clone(), target, outcome };
-            lane.take_endings().into_iter().map(ending)
+            lane.take_outcomes().into_iter().map(ending)
         };
         lanes.iter().flat_map(of).collect()
     }
@@ -42,7 +42,7 @@
         let lanes = self.lanes.read();
         for ending in endings {
             if let Some(lane) = lanes.get(&ending.service) {
-                lane.hear(&ending.target, from.clone(), ending.outcome);
+                lane.apply_outcome(&ending.target, from.clone(), ending.outcome);
             }
         }
     }
@@ -60,7 +60,7 @@
             let cordoned = leases.ready(service).filter(|target| cordons.contains(&target.domain));
             let cordoned = cordoned.map(|target| target.id.clone()).collect();
             drop(cordons);
-            lane.set_open(targets, &cordoned);
+            lane.set_targets_and_cordons(targets, &cordoned);
         }
         self.keep_limits(&leases);
         self.settle_doubts(&leases);
--- a/crates/gateway/src/request/admit.rs
+++ b/crates/gateway/src/request/admit.rs
@@ -8,7 +8,7 @@
 use fireflyhoist_policy::lease::Target;
 
 use crate::connection::frame::Question;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::request::{Inquiry, Worker, held};
 
 /// How long the entry that keeps a target's bucket may take to answer: some twenty round trips.
@@ -34,7 +34,7 @@
         let ask = inquiry.ask(avoid.cloned(), repeat);
         let pass = inquiry.lane.admit(ask).await.map_err(|refusal| stop(inquiry, refusal))?;
         if let Some((why, wait)) = over_limit(worker, pass.target()).await {
-            inquiry.lane.close_target(pass.target(), wait, why);
+            inquiry.lane.suspend_target(pass.target(), wait, why);
             // It has drawn on the retry budget.
             repeat = false;
             continue;
--- a/crates/gateway/src/request/carry.rs
+++ b/crates/gateway/src/request/carry.rs
@@ -17,7 +17,7 @@
 
 use crate::platform::{Copy, Platform};
 use crate::process::kept::Kept;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::process::state::millis;
 use crate::process::turn::Turn;
 use crate::request::attempt::{self, Begun, Ended, Extra};
@@ -69,7 +69,7 @@
             return None;
         }
         let near = worker.process.neighbours(at);
-        let refuges = pass.refuges(&near, Some(BACKUP_RESERVE));
+        let refuges = pass.migration_targets(&near, Some(BACKUP_RESERVE));
         let refuge = refuges.into_iter().find(|refuge| refuge != at)?;
         let target = worker.process.target(&refuge)?;
         let kept = Kept::open(&worker.process, &target.id, inquiry.facts.prompt.get());
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -34,7 +34,7 @@
 
 use crate::platform::{Facts, Platform};
 use crate::process::fleet::Fleet;
-use crate::process::lane::Lane;
+use crate::process::service_gate::ServiceGate;
 use crate::process::state::{Process, millis};
 
 /// Patience of callers that state none: below the default timeouts of common clients.
@@ -75,7 +75,7 @@
     pub(crate) table: Arc<Table>,
     pub(crate) route: Route,
     pub(crate) service: Service,
-    pub(crate) lane: Arc<Lane>,
+    pub(crate) lane: Arc<ServiceGate>,
     pub(crate) workspace: Option<id::Workspace>,
     pub(crate) label: Option<SmolStr>,
     pub(crate) method: Method,
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -14,7 +14,7 @@
 
 use crate::connection::exchange::Failure;
 use crate::platform::Platform;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::request::admit::{self, Stop};
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
 use crate::request::{Inquiry, Worker, broken, end_to_end, held, refuse};
--- a/crates/gateway/src/request/pump.rs
+++ b/crates/gateway/src/request/pump.rs
@@ -20,7 +20,7 @@
 
 use crate::connection::exchange::Response;
 use crate::platform::Platform;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::process::state::Open;
 use crate::request::attempt::{Begun, Ended};
 use crate::request::carry::{self, Arrived, Backup, Trip, Way};
@@ -279,7 +279,7 @@
     fn refuges(&self) -> Vec<Target> {
         let process = &self.worker.process;
         let near = process.neighbours(self.pass.target());
-        let refuges = self.pass.refuges(&near, None);
+        let refuges = self.pass.migration_targets(&near, None);
         refuges.iter().filter_map(|refuge| process.target(refuge)).collect()
     }
 
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -10,7 +10,7 @@
 use ntex::time::timeout;
 
 use crate::platform::Platform;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::process::state::{Open, millis};
 use crate::request::admit::{self, Stop};
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
--- a/crates/gateway/src/version/report.rs
+++ b/crates/gateway/src/version/report.rs
@@ -50,7 +50,8 @@
     let held = process.held().into_iter().filter(|held| held.streams > 0);
     let ready = held.filter(|held| process.is_target_ready(&held.target));
     let known = ready.filter_map(|held| process.target(&held.target));
-    let has_refuge = |t: &Target| process.lane(&t.service).is_some_and(|lane| lane.has_refuge());
+    let has_refuge =
+        |t: &Target| process.lane(&t.service).is_some_and(|lane| lane.has_spare_capacity());
     for target in known.filter(has_refuge) {
         let (process, fleet) = (Arc::clone(process), Arc::clone(fleet));
         ntex::rt::spawn(async move { ask::<P>(&process, &fleet, &target).await }).detach();
