--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -1,8 +1,8 @@
 //! What lives as long as the process: settings, log, shared state, the server and its drain.
 
 pub(crate) mod clock;
+pub(crate) mod copy_usage;
 pub(crate) mod fleet;
-pub(crate) mod kept;
 pub(crate) mod log;
 pub(crate) mod metrics;
 pub(crate) mod serve;
--- a/crates/gateway/src/request/carry.rs
+++ b/crates/gateway/src/request/carry.rs
@@ -16,7 +16,7 @@
 use ntex::time::sleep;
 
 use crate::platform::{Copy, Platform};
-use crate::process::kept::Kept;
+use crate::process::copy_usage::CopyUsage;
 use crate::process::service_gate::Pass;
 use crate::process::state::millis;
 use crate::process::turn::Turn;
@@ -52,7 +52,7 @@
 /// The engine that keeps a copy of an answer's memory as it grows.
 #[derive(Debug)]
 pub(crate) struct Backup {
-    kept: Kept,
+    kept: CopyUsage,
     listed: Target,
 }
 
@@ -72,7 +72,7 @@
         let refuges = pass.migration_targets(&near, Some(BACKUP_RESERVE));
         let refuge = refuges.into_iter().find(|refuge| refuge != at)?;
         let target = worker.process.target(&refuge)?;
-        let kept = Kept::open(&worker.process, &target.id, inquiry.facts.prompt.get());
+        let kept = CopyUsage::open(&worker.process, &target.id, inquiry.facts.prompt.get());
         Some(Self { kept, listed: target })
     }
 
@@ -91,7 +91,7 @@
 
     /// Counts what the copy holds now.
     pub(crate) fn grow(&mut self, tokens: u64) {
-        self.kept.grow(tokens);
+        self.kept.resize(tokens);
     }
 }
 
@@ -137,7 +137,7 @@
     pub(crate) to: id::Target,
     pub(crate) begun: Begun,
     /// What it came with, until it counts there as an answer.
-    pub(crate) kept: Option<Kept>,
+    pub(crate) kept: Option<CopyUsage>,
 }
 
 /// Carries an answer to the next engine; the old run goes on until this returns, but for the last
--- a/crates/gateway/src/request/relocate.rs
+++ b/crates/gateway/src/request/relocate.rs
@@ -13,7 +13,7 @@
 
 use crate::connection::exchange::{self, Failure, Outgoing};
 use crate::platform::{Call, Copy, Moved, Platform};
-use crate::process::kept::Kept;
+use crate::process::copy_usage::CopyUsage;
 use crate::request::attempt::Ended;
 use crate::request::{Inquiry, Worker};
 
@@ -42,13 +42,13 @@
     pub(crate) to: Target,
     /// The copy.
     pub(crate) copy: Copy,
-    kept: Kept,
+    kept: CopyUsage,
     unused: Unused,
 }
 
 impl Relocated {
     /// Notes that the run goes on from the copy; returns the count of its memory.
-    pub(crate) fn used(mut self) -> Kept {
+    pub(crate) fn used(mut self) -> CopyUsage {
         self.unused.call = None;
         self.kept
     }
@@ -99,7 +99,7 @@
 ) -> Result<Relocated, Ended> {
     let mut ended = Ended::Unrun("nowhere");
     for to in to.iter().take(MOVE_PLACES) {
-        let kept = Kept::open(&worker.process, &to.id, held.get());
+        let kept = CopyUsage::open(&worker.process, &to.id, held.get());
         match move_once::<P>(worker, inquiry, from, to.address, false).await {
             Ok(name) => return move_rest::<P>(worker, inquiry, from, to, name, kept).await,
             Err(Ended::Unrun("no room")) => ended = Ended::Unrun("no room"),
@@ -116,7 +116,7 @@
     from: &Target,
     to: &Target,
     first: SmolStr,
-    kept: Kept,
+    kept: CopyUsage,
 ) -> Result<Relocated, Ended> {
     let call = Some(P::drop_copy(&first));
     let unused = Unused { call, from: from.address, to: to.address };
