--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -1,14 +1,15 @@
-//! Catching up with peers: texts section by section, targets as a list.
+//! Requests from peers what this entry lacks: texts section by section, targets as a full list.
 //!
-//! Heartbeats say how far a peer is. Whoever stands behind asks, one peer at a time; nobody sends
-//! what was not asked for.
+//! Heartbeats announce the revisions that a peer has. An entry that is behind requests the
+//! difference, from one peer at a time; nothing is sent without a request.
 //!
-//! **Failure:** peers that send what another lacks, each of them and again until it has it, send it
-//! more than its link carries: its heartbeats starve, its links are closed with what had arrived,
-//! and all begins anew at the next peer. On a played day with two texts of four thousand routes each
-//! host on a link of 10 Mbit/s lost five links and took in 4.9 MB for 1.1 MB of either, and the second
-//! came into force up to 3.6 s after its acknowledgement. **Guard:** only the receiver knows what is
-//! on its way to it; it asks for the next part when one has come.
+//! Only the receiver knows what is already on its way to it, so it requests the next part once the
+//! previous one has arrived. If instead every peer sent what another entry lacks, and repeated it
+//! until that entry had it, the link of the entry would be overloaded: heartbeats would be delayed,
+//! its links closed with partly received data, and everything would start again with the next peer.
+//! In a simulated day with two texts of 4,000 routes each, every host on a link of 10 Mbit/s lost
+//! five links and received 4.9 MB for each text of 1.1 MB, and the second text came into force up
+//! to 3.6 s after its acknowledgement.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,82 +24,83 @@
 use crate::process::fleet::Fleet;
 use crate::version::source;
 
-/// How long a peer may be ahead before it is asked for what it knows: a few heartbeats, in which
-/// changes that are on their way arrive, and a fraction of the two seconds within which a text or a
-/// target's leaving must be known.
-const LAG: Duration = Duration::from_millis(450);
+/// How long this entry may be behind a peer before it requests what is missing: a few heartbeats,
+/// in which changes that are on their way arrive, and a fraction of the 2 s within which a text or
+/// the leaving of a target must be known.
+const MAX_LAG: Duration = Duration::from_millis(450);
 
-/// Since when a peer is ahead of this entry, if it is.
+/// The time since when this entry has been behind a peer; `None` if it is not behind.
 #[derive(Debug, Default)]
-pub(super) struct Ahead(Option<Time>);
+pub(super) struct Lag(Option<Time>);
 
-impl Ahead {
-    /// Notes whether the peer is ahead now, and says whether it has been for [`LAG`].
-    fn is_late(&mut self, now: Time, ahead: bool) -> bool {
-        if !ahead {
+impl Lag {
+    /// Records whether this entry is behind the peer at `now`, and returns whether it has been so
+    /// for [`MAX_LAG`].
+    fn update(&mut self, now: Time, behind: bool) -> bool {
+        if !behind {
             self.0 = None;
             return false;
         }
-        now.since(*self.0.get_or_insert(now)) >= LAG
+        now.since(*self.0.get_or_insert(now)) >= MAX_LAG
     }
 }
 
-/// The list of targets as it goes over links.
+/// The frame with the full list of targets, encoded once for all recipients.
 #[derive(Debug)]
-pub(super) struct Encoded {
-    /// How often targets had changed here, which a revision alone doesn't tell: an engine may have said
-    /// itself that it leaves.
+pub(super) struct EncodedTargets {
+    /// The number of changes of targets at this entry when the list was encoded. The revision does
+    /// not identify the list: an engine may have announced itself that it is leaving.
     changes: u64,
     kind: &'static str,
     bytes: Arc<Vec<u8>>,
 }
 
 impl Fleet {
-    /// Asks a peer for what it has and this entry lacks.
-    pub(super) fn follow(&self, from: &id::Host, beat: &Beat) {
+    /// Requests from a peer the text and the targets of its heartbeat that this entry lacks.
+    pub(super) fn catch_up(&self, from: &id::Host, beat: &Beat) {
         let (text, targets) = (self.process.revision(), self.process.listed_position());
-        let (wants_text, wants_targets) = (beat.text > text, beat.targets > targets);
-        let Some((text_late, targets_late)) = self.late(from, wants_text, wants_targets) else {
-            return;
-        };
-        // An entry that reads texts itself has the same one on its way from the registry.
-        if wants_text && (text_late || text == 0 || self.is_standby()) {
-            self.want_text(from, beat.text);
+        let (text_behind, targets_behind) = (beat.text > text, beat.targets > targets);
+        let lagging = self.update_lag(from, text_behind, targets_behind);
+        let Some((text_lags, targets_lag)) = lagging else { return };
+        // An entry that reads texts from the registry will soon get this one from there.
+        if text_behind && (text_lags || text == 0 || self.is_standby()) {
+            self.request_text(from, beat.text);
         }
         if let Some(theirs) = beat.targets
-            && wants_targets
-            && (targets_late || targets.is_none_or(|own| theirs.has_later_era_than(own)))
+            && targets_behind
+            && (targets_lag || targets.is_none_or(|own| theirs.has_later_era_than(own)))
         {
-            self.want_targets(from, theirs);
+            self.request_targets(from, theirs);
         }
     }
 
-    /// Whether a peer has been ahead in its text, and in its targets, for so long that what it has
-    /// is on no other way here; `None` where its link is gone.
-    fn late(&self, from: &id::Host, text: bool, targets: bool) -> Option<(bool, bool)> {
+    /// Records whether this entry is behind a peer in its text and in its targets. Returns for each
+    /// whether it has been behind for so long that the change must be requested; `None` if the link
+    /// to the peer is gone.
+    fn update_lag(&self, from: &id::Host, text: bool, targets: bool) -> Option<(bool, bool)> {
         let now = self.now();
         let mut peers = self.peers.lock();
         let peer = peers.get_mut(from)?;
-        Some((peer.text.is_late(now, text), peer.targets.is_late(now, targets)))
+        Some((peer.text_lag.update(now, text), peer.targets_lag.update(now, targets)))
     }
 
-    fn want_text(&self, from: &id::Host, revision: u64) {
-        // What the text in force and the new one share is not asked for.
-        self.hold_text();
-        let ask = self.texts.lock().announced(self.now(), from, Stamp::least(revision));
-        if let Some(message) = ask {
+    fn request_text(&self, from: &id::Host, revision: u64) {
+        // Sections that the text in force shares with the new one are not requested.
+        self.store_sections();
+        let request = self.texts.lock().announced(self.now(), from, Stamp::least(revision));
+        if let Some(message) = request {
             self.links.send(from, &Frame::Text(message));
         }
     }
 
-    fn want_targets(&self, from: &id::Host, position: Position) {
-        if self.lists.lock().start(self.now(), from, position) {
+    fn request_targets(&self, from: &id::Host, position: Position) {
+        if self.target_fetch.lock().start(self.now(), from, position) {
             self.links.send(from, &Frame::WantTargets);
         }
     }
 
-    /// Cuts the text in force into sections, once a text.
-    fn hold_text(&self) {
+    /// Splits the text in force into sections, unless it was split before.
+    fn store_sections(&self) {
         let Some(table) = self.process.table() else { return };
         let mut texts = self.texts.lock();
         let held = texts.version().map_or(0, |version| version.revision());
@@ -108,54 +110,57 @@
         }
     }
 
-    /// Sends the list of targets, which is encoded once a change: when a large fleet starts, hundreds ask
-    /// for some thousand targets within a second.
+    /// Sends the full list of targets to an entry.
+    ///
+    /// The list is encoded once per change, since hundreds of entries request some thousand targets
+    /// within a second when a large fleet starts.
     pub(super) fn send_targets(&self, to: &id::Host) {
         let changes = *self.process.watch_targets().borrow();
-        let mut encoded = self.encoded.lock();
+        let mut encoded = self.encoded_targets.lock();
         if encoded.as_ref().is_none_or(|list| list.changes != changes) {
             let (revision, targets) = self.process.targets();
             let frame = Frame::Targets { revision, targets };
             let (kind, bytes) = (frame.kind(), Arc::new(frame.encode()));
-            *encoded = Some(Encoded { changes, kind, bytes });
+            *encoded = Some(EncodedTargets { changes, kind, bytes });
         }
         if let Some(list) = encoded.as_ref() {
             self.links.send_encoded(to, list.kind, Arc::clone(&list.bytes));
         }
     }
 
-    pub(super) fn take_message(&self, from: &id::Host, message: Message) {
+    /// Handles a message about the sections of a text.
+    pub(super) fn handle_text_message(&self, from: &id::Host, message: Message) {
         if message == Message::WantManifest {
-            self.hold_text();
+            self.store_sections();
         }
         let next = self.texts.lock().take(self.now(), from, message);
         match next {
             Next::Nothing => {}
             Next::Say(message) => self.links.send(from, &Frame::Text(message)),
-            Next::Whole(version, whole) => self.take_text(from, version, &whole),
+            Next::Whole(version, whole) => self.adopt_text(from, version, &whole),
             Next::Unlike(version) => {
                 ::log::warn!(peer:% = from, version:% = version; "sections make no text of their version");
             }
         }
     }
 
-    fn take_text(&self, from: &id::Host, version: Version, whole: &str) {
+    fn adopt_text(&self, from: &id::Host, version: Version, whole: &str) {
         match source::read(whole) {
             Ok(text) => {
                 if self.process.adopt(text, "peer") {
                     self.texts.lock().hold(version, whole);
                 }
             }
-            Err(error) => ::log::warn!(peer:% = from, error:% = error; "text of a peer refused"),
+            Err(error) => ::log::warn!(peer:% = from, error:% = error; "text from a peer refused"),
         }
     }
 
-    /// What a peer that is gone was asked for is asked of another.
-    pub(super) fn ask_others(&self, gone: &id::Host) {
-        self.texts.lock().lost(gone);
-        let mut lists = self.lists.lock();
-        if lists.is_from(gone) {
-            lists.end();
+    /// Gives up the requests to a peer whose link is lost, so that they go to another one.
+    pub(super) fn abandon_requests(&self, lost: &id::Host) {
+        self.texts.lock().lost(lost);
+        let mut fetch = self.target_fetch.lock();
+        if fetch.is_from(lost) {
+            fetch.end();
         }
     }
 }
--- a/crates/gateway/src/process/fleet/beat.rs
+++ b/crates/gateway/src/process/fleet/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: what an entry tells the others of itself, and what it makes of theirs.
+//! Sends heartbeats with this entry's state to linked entries, and handles the heartbeats of
+//! others.
 
 use std::sync::Arc;
 
@@ -11,13 +12,14 @@
 use crate::process::fleet::Fleet;
 
 impl Fleet {
-    /// Tells all entries this one's state.
-    pub(crate) fn beat(&self) {
-        self.beat_to_actives();
-        self.beat_to_leaves();
+    /// Sends a heartbeat to every linked entry.
+    pub(crate) fn send_heartbeats(&self) {
+        self.send_to_actives();
+        self.send_to_leaves();
     }
 
-    fn own_beat(&self, held: Vec<Held>) -> Beat {
+    /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `endings`.
+    fn new_beat(&self, held: Vec<Held>) -> Beat {
         Beat {
             follows: false,
             endings: Vec::new(),
@@ -31,80 +33,83 @@
         }
     }
 
-    fn beat_to_actives(&self) {
-        self.share_poison();
-        self.share_limits();
-        let (actives, _) = self.parted();
+    fn send_to_actives(&self) {
+        self.announce_poison();
+        self.announce_limits();
+        let (actives, _) = self.actives_and_leaves();
         let view = self.view();
         let endings = self.process.take_endings();
         if self.is_active() {
-            // What leaves hold goes along; what other actives hold they tell themselves.
+            // Includes what leaves have in flight; other actives announce their own.
             let held = self.process.held_with(|host| !view.actives.contains(host));
-            let beat = Beat { endings, ..self.own_beat(held) };
+            let beat = Beat { endings, ..self.new_beat(held) };
             self.links.send_all(actives.iter(), &Frame::Beat(beat));
             return;
         }
         let primary = view.links.first().map(|member| &member.host);
-        let lead = self.lead();
+        let source = self.change_source();
         for active in &actives {
-            // Told to one, or it would count twice.
+            // Sent to one active only, or it would be counted twice.
             let held = if Some(active) == primary { self.process.held() } else { Vec::new() };
-            let follows = Some(active) == lead.as_ref();
+            let follows = Some(active) == source.as_ref();
             let endings = endings.clone();
-            let beat = Beat { follows, endings, ..self.own_beat(held) };
+            let beat = Beat { follows, endings, ..self.new_beat(held) };
             self.links.send(active, &Frame::Beat(beat));
         }
     }
 
-    /// The entry that tells this one of each change of targets, where it stands by.
-    fn lead(&self) -> Option<id::Host> {
+    /// Returns the active that forwards each change of targets to this entry if it is a leaf.
+    fn change_source(&self) -> Option<id::Host> {
         let view = self.view();
         let peers = self.peers.lock();
         let mut linked = view.links.iter().filter(|member| peers.contains_key(&member.host));
         linked.next().map(|member| member.host.clone())
     }
 
-    /// Tells an entry this one's state as soon as their link is open.
-    pub(super) fn beat_first(&self, to: &id::Host) {
+    /// Sends the first heartbeat over a link that has just opened. It includes the cordons even if
+    /// they have not changed.
+    pub(super) fn send_first_beat(&self, to: &id::Host) {
         let cordons = self.process.cordon_word();
-        let beat = Beat { cordons, ..self.own_beat(Vec::new()) };
+        let beat = Beat { cordons, ..self.new_beat(Vec::new()) };
         self.links.send(to, &Frame::Beat(beat));
     }
 
-    fn beat_to_leaves(&self) {
-        let (_, leaves) = self.parted();
+    fn send_to_leaves(&self) {
+        let (_, leaves) = self.actives_and_leaves();
         let (busy, idle): (Vec<id::Host>, Vec<id::Host>) =
             leaves.into_iter().partition(|leaf| self.process.holds(leaf));
-        self.links.send_all(idle.iter(), &Frame::Beat(self.own_beat(Vec::new())));
+        self.links.send_all(idle.iter(), &Frame::Beat(self.new_beat(Vec::new())));
         for leaf in &busy {
             let held = self.process.held_with(|host| host != leaf);
-            self.links.send(leaf, &Frame::Beat(self.own_beat(held)));
+            self.links.send(leaf, &Frame::Beat(self.new_beat(held)));
         }
     }
 
-    pub(super) async fn beat_on(self: Arc<Self>) {
+    /// Sends heartbeats on schedule, and extra ones to actives soon after a generation was sent,
+    /// for as long as the process runs.
+    pub(super) async fn heartbeat_loop(self: Arc<Self>) {
         let mut schedule = Schedule::open(self.now());
         loop {
-            let news = tokio::select! {
+            let generation_sent = tokio::select! {
                 () = sleep(schedule.wait(self.now())) => false,
                 () = self.process.sent() => true,
             };
-            if news {
+            if generation_sent {
                 sleep(heartbeat::COALESCE_DELAY).await;
-                self.beat_to_actives();
+                self.send_to_actives();
             }
-            let Some(beat) = schedule.take_due(self.now()) else { continue };
-            if self.is_active() || beat == heartbeat::Recipients::All {
-                self.beat_to_actives();
+            let Some(recipients) = schedule.take_due(self.now()) else { continue };
+            if self.is_active() || recipients == heartbeat::Recipients::All {
+                self.send_to_actives();
             }
-            if beat == heartbeat::Recipients::All {
-                self.beat_to_leaves();
+            if recipients == heartbeat::Recipients::All {
+                self.send_to_leaves();
             }
             self.process.report();
         }
     }
 
-    fn hear_endings(&self, from: &id::Host, endings: Vec<Ending>) {
+    fn apply_endings(&self, from: &id::Host, endings: Vec<Ending>) {
         if endings.is_empty() {
             return;
         }
@@ -113,11 +118,13 @@
         self.process.hear_endings(&Observer { host: from.clone(), domain }, endings);
     }
 
-    pub(super) fn take_beat(&self, from: &id::Host, mut beat: Beat) {
-        self.follow(from, &beat);
-        self.hear_endings(from, std::mem::take(&mut beat.endings));
-        if let Some(word) = &beat.cordons {
-            self.process.hear_cordons(word.clone());
+    /// Applies a heartbeat of another entry, and requests the text and targets that it has and this
+    /// entry lacks.
+    pub(super) fn handle_beat(&self, from: &id::Host, mut beat: Beat) {
+        self.catch_up(from, &beat);
+        self.apply_endings(from, std::mem::take(&mut beat.endings));
+        if let Some(update) = &beat.cordons {
+            self.process.hear_cordons(update.clone());
         }
         if self.process.set_other(from, Some(beat.held.clone())) {
             self.process.report();
@@ -125,12 +132,12 @@
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(from) else { return };
         let differs = |old: &Beat| old.registry != beat.registry || old.ready != beat.ready;
-        let news = peer.beat.as_ref().is_none_or(differs);
-        let before = peer.beat.take().and_then(|old| old.cordons);
-        beat.cordons = beat.cordons.or(before);
+        let view_changes = peer.beat.as_ref().is_none_or(differs);
+        let previous = peer.beat.take().and_then(|old| old.cordons);
+        beat.cordons = beat.cordons.or(previous);
         peer.beat = Some(beat);
         drop(peers);
-        if news {
+        if view_changes {
             self.stale.notify_one();
         }
     }
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -1,16 +1,17 @@
-//! What entries know of each other, and who watches the registry for the others.
+//! The other entries of the fleet: links, membership, heartbeats, and who watches the registry.
 //!
-//! Whoever answers on a link is alive, and tells whom it has links to; no list decides it. Which of
-//! those alive carry the traffic and who links to whom is `policy::topology`'s to say. What is held
-//! at each target is summed along the links, each link carrying all that its sender knows but for
-//! what the receiver told it. `docs/PLATFORM.md` has the figures.
+//! An entry that answers on a link is alive, and announces which entries it has links to itself;
+//! there is no central list. `policy::topology` decides which live entries are active, that is, serve
+//! callers, and which entries link to each other. The in-flight load of each target is summed along
+//! the links: every heartbeat carries all that its sender knows, except for what it received from
+//! the recipient.
 
-mod beat;
 mod catchup;
-mod grant;
-mod intake;
-mod look;
+mod heartbeat;
+mod links;
+mod owner;
 mod poison;
+mod target_limits;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -39,71 +40,78 @@
 
 use crate::connection::frame::{Beat, Frame};
 use crate::connection::link::{Event, Links, Loss};
-use crate::process::fleet::catchup::{Ahead, Encoded};
-use crate::process::fleet::grant::Questions;
+use crate::process::fleet::catchup::{EncodedTargets, Lag};
+use crate::process::fleet::owner::PendingQuestions;
+use crate::process::migration::Coordinator;
 use crate::process::state::{Process, millis};
-use crate::process::turn::Desk;
 
-/// Entries that watch the registry's targets for all: two, so that one may fail unnoticed.
+/// The number of entries that watch the targets in the registry for all others: two, so that the
+/// failure of one has no effect.
 const WATCHERS: usize = 2;
 
-/// Time between two views of who is alive at least; a tenth of the silence that ends a link.
-const REFRESH: Duration = Duration::from_millis(25);
+/// The minimum time between two computations of the view. It is small against the 900 ms of
+/// silence after which a link is closed.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Events of links that wait to be handled.
+/// The capacity of the queue of link events.
 const BACKLOG: usize = 1_024;
 
 /// An entry that has a link to this one.
 #[derive(Debug)]
 struct Peer {
     member: Member,
+    /// Its last heartbeat.
     beat: Option<Beat>,
-    /// Since when it has a newer text.
-    text: Ahead,
-    /// Since when it knows more of the targets.
-    targets: Ahead,
-    /// Whom it says to be alive.
-    told: Subscriber,
-    used: Time,
+    /// The time since when its text has been newer than this entry's.
+    text_lag: Lag,
+    /// The time since when its list of targets has been newer than this entry's.
+    targets_lag: Lag,
+    /// The entries that it announces as alive.
+    announced: Subscriber,
+    /// When either end last needed the link.
+    last_used: Time,
 }
 
-/// Who is alive and what part each plays, worked out anew when that changes.
+/// The live entries and their roles, computed again when either may have changed.
 #[derive(Debug, Default)]
 struct View {
     alive: Vec<Presence>,
     actives: BTreeSet<id::Host>,
-    /// Actives that this entry links to, the first of which speaks for it where it is a leaf.
+    /// The actives that this entry links to. If it is a leaf, the first is its primary active,
+    /// which announces its in-flight requests and forwards its questions.
     links: Vec<Member>,
 }
 
-/// The other entries, as far as they are known.
+/// The other entries of the fleet, as known to this one.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     process: Arc<Process>,
     links: Arc<Links>,
     own: Member,
-    began: Time,
+    started_at: Time,
     peers: Mutex<HashMap<id::Host, Peer>>,
     view: Mutex<Arc<View>>,
-    /// What this entry tells of who is alive.
-    teller: Mutex<Publisher>,
-    /// Asks for a new view.
+    /// The live entries that this one announces.
+    publisher: Mutex<Publisher>,
+    /// Requests a new computation of the view.
     stale: Notify,
-    /// When each address was last dialled, and since when its link is missing.
+    /// Addresses that are wanted and have no link: when each was last dialled, and since when its
+    /// link is missing.
     dialled: Mutex<HashMap<SocketAddr, (Time, Time)>>,
-    /// Sections of texts, those on their way here included.
+    /// Sections of texts, including a text that is being received.
     texts: Mutex<Transfer>,
-    /// Which peer is asked for all targets.
-    lists: Mutex<Fetch<Position>>,
-    /// The list that others were sent last.
-    encoded: Mutex<Option<Encoded>>,
+    /// The peer from which the full list of targets is being requested.
+    target_fetch: Mutex<Fetch<Position>>,
+    /// The full list of targets as it was last sent.
+    encoded_targets: Mutex<Option<EncodedTargets>>,
+    /// Notified after each computation of the view and when a link opens or closes.
     changed: Notify,
-    questions: Questions,
-    pub(crate) desk: Desk,
+    questions: PendingQuestions,
+    pub(crate) migrations: Coordinator,
 }
 
 impl Fleet {
-    /// Begins to link and to answer links.
+    /// Starts the tasks that accept and open links and handle what arrives on them.
     pub(crate) fn spawn(process: Arc<Process>, listener: TcpListener) -> Arc<Self> {
         let settings = &process.settings;
         let own = Member {
@@ -117,33 +125,34 @@
         let links = Links::open(own.clone(), process.metrics.traffic().clone(), events);
         ntex::rt::spawn(Arc::clone(&links).listen(listener)).detach();
         let fleet = Arc::new(Self {
-            began: process.clock.now(),
+            started_at: process.clock.now(),
             process,
             links,
             own,
             peers: Mutex::default(),
             view: Mutex::default(),
-            teller: Mutex::default(),
+            publisher: Mutex::default(),
             stale: Notify::new(),
             dialled: Mutex::default(),
             texts: Mutex::default(),
-            lists: Mutex::default(),
-            encoded: Mutex::default(),
+            target_fetch: Mutex::default(),
+            encoded_targets: Mutex::default(),
             changed: Notify::new(),
-            questions: Questions::default(),
-            desk: Desk::default(),
+            questions: PendingQuestions::default(),
+            migrations: Coordinator::default(),
         });
         fleet.refresh();
-        ntex::rt::spawn(Arc::clone(&fleet).refresh_on()).detach();
-        ntex::rt::spawn(Arc::clone(&fleet).look()).detach();
-        ntex::rt::spawn(Arc::clone(&fleet).listen(receiver)).detach();
-        ntex::rt::spawn(Arc::clone(&fleet).beat_on()).detach();
-        ntex::rt::spawn(Desk::run(Arc::clone(&fleet))).detach();
+        ntex::rt::spawn(Arc::clone(&fleet).refresh_loop()).detach();
+        ntex::rt::spawn(Arc::clone(&fleet).maintain_links()).detach();
+        ntex::rt::spawn(Arc::clone(&fleet).handle_events(receiver)).detach();
+        ntex::rt::spawn(Arc::clone(&fleet).heartbeat_loop()).detach();
+        ntex::rt::spawn(Coordinator::run(Arc::clone(&fleet))).detach();
         fleet
     }
 
-    /// Entries that callers should use now.
-    pub(crate) fn ready(&self) -> Vec<Member> {
+    /// Returns the entries that callers should use now: the active ones that are ready, or this
+    /// entry if it knows none.
+    pub(crate) fn ready_members(&self) -> Vec<Member> {
         let view = self.view();
         let serves = |presence: &&Presence| {
             let own = presence.member.host == self.own.host;
@@ -158,16 +167,17 @@
         ready
     }
 
-    /// Whether any other entry takes callers.
-    pub(crate) fn has_others(&self) -> bool {
-        self.ready().iter().any(|member| member.host != self.own.host)
+    /// Whether another entry accepts callers.
+    pub(crate) fn has_ready_peer(&self) -> bool {
+        self.ready_members().iter().any(|member| member.host != self.own.host)
     }
 
-    /// Which of those that watch targets for all this entry is, from 0; `None` where it is none.
+    /// Returns the rank of this entry among those that watch targets for all, from 0; `None` if it
+    /// is not one of them.
     ///
-    /// Each ranks the actives that it has links to, so an entry that is cut off from the others
-    /// finds itself first and watches on its own.
-    pub(crate) fn watcher(&self) -> Option<usize> {
+    /// Each entry ranks the actives that it has links to and whose registry calls succeed, so an
+    /// entry that is cut off from the others ranks first and watches for itself.
+    pub(crate) fn watcher_rank(&self) -> Option<usize> {
         let view = self.view();
         let peers = self.peers.lock();
         let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry);
@@ -183,29 +193,31 @@
         ranked.iter().take(WATCHERS).position(|host| **host == self.own.host)
     }
 
-    /// Whether others carry the traffic and would tell this entry what it misses.
+    /// Whether this entry is a leaf with a link, so that others serve the callers and announce to
+    /// it what it lacks.
     pub(crate) fn is_standby(&self) -> bool {
         !self.is_active() && !self.peers.lock().is_empty()
     }
 
-    /// Whether it has no link to any other entry.
+    /// Whether this entry has no link to any other.
     pub(crate) fn is_alone(&self) -> bool {
         self.peers.lock().is_empty()
     }
 
-    /// Its part in hearing from a registry that doesn't answer.
-    pub(crate) fn part(&self) -> Role {
+    /// Returns the role of this entry in calling a registry that does not answer.
+    pub(crate) fn registry_role(&self) -> Role {
         if self.is_standby() {
             return Role::Standby;
         }
         if self.is_alone() && self.process.is_idle() {
             return Role::Secondary;
         }
-        let leading = self.ranked_actives("registry", backoff::PRIMARIES);
-        if leading.contains(&self.own.host) { Role::Primary } else { Role::Secondary }
+        let primaries = self.ranked_actives("registry", backoff::PRIMARIES);
+        if primaries.contains(&self.own.host) { Role::Primary } else { Role::Secondary }
     }
 
-    /// The first few actives by rank for a key, among those that this entry has links to.
+    /// Returns the first `count` actives by rendezvous rank for a key, among this entry and those
+    /// that it has links to.
     fn ranked_actives(&self, key: &str, count: usize) -> Vec<id::Host> {
         let view = self.view();
         let peers = self.peers.lock();
@@ -215,20 +227,22 @@
         ranked.into_iter().take(count).cloned().collect()
     }
 
-    /// Whether enough peers would tell of a text that this entry misses.
-    pub(crate) fn is_covered(&self) -> bool {
+    /// Whether at least two linked entries reach the registry, so that they would announce a text
+    /// that this entry lacks even if one of them failed.
+    pub(crate) fn peers_reach_registry(&self) -> bool {
         let peers = self.peers.lock();
         let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry);
         peers.values().filter(works).count() >= 2
     }
 
-    /// Whether other entries link to this one before they know anybody.
+    /// Whether this entry is a seed, which other entries dial before they know any member.
     pub(crate) fn is_seed(&self) -> bool {
         self.process.seeds().contains(&self.own.peers)
     }
 
-    /// What linked entries can tell this one, of something that `has` finds in their heartbeats.
-    pub(crate) fn peers(&self, has: impl Fn(&Beat) -> bool) -> Peers {
+    /// Returns whether this entry has links, and whether any linked entry has the data that `has`
+    /// looks for in its last heartbeat.
+    pub(crate) fn peer_state(&self, has: impl Fn(&Beat) -> bool) -> Peers {
         let peers = self.peers.lock();
         if peers.is_empty() {
             return Peers::None;
@@ -237,14 +251,15 @@
         if informed { Peers::Informed } else { Peers::Uninformed }
     }
 
-    /// Whether neither this entry nor any that it has a link to hears of targets.
-    pub(crate) fn is_blind(&self) -> bool {
+    /// Whether neither this entry nor any linked entry watches the targets in the registry.
+    pub(crate) fn are_targets_unwatched(&self) -> bool {
         let peers = self.peers.lock();
-        let told = peers.values().any(|peer| peer.beat.as_ref().is_some_and(|beat| beat.watching));
-        !told && !self.process.is_watching()
+        let watched =
+            peers.values().any(|peer| peer.beat.as_ref().is_some_and(|beat| beat.watching));
+        !watched && !self.process.is_watching()
     }
 
-    /// For how long callers may keep addresses at most.
+    /// Returns how long callers may cache the addresses of entries at most.
     pub(crate) fn entries_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.process.bounds().entries_ttl_s.max(0.0))
     }
@@ -257,8 +272,9 @@
         &self.own.host
     }
 
-    /// The entry that decides for all about what a key names, or that passes questions on to it.
-    pub(crate) fn keeper(&self, key: &str) -> id::Host {
+    /// Returns the entry to which questions about a key are sent: the owner of the key if this
+    /// entry is active, or else its primary active, which forwards them to the owner.
+    pub(crate) fn owner(&self, key: &str) -> id::Host {
         let view = self.view();
         if !self.is_active() {
             let primary = view.links.first();
@@ -268,54 +284,58 @@
         first.unwrap_or_else(|| self.own.host.clone())
     }
 
-    /// Sends a frame to an entry, this one included.
-    pub(crate) fn tell(&self, host: &id::Host, frame: &Frame) {
+    /// Sends a frame to an entry. A frame to this entry is handled at once.
+    pub(crate) fn send(&self, host: &id::Host, frame: &Frame) {
         if *host == self.own.host {
-            self.take(host, frame.clone());
+            self.handle_frame(host, frame.clone());
         } else {
             self.links.send(host, frame);
         }
     }
 
-    pub(crate) fn ask_turn(&self, keeper: &id::Host, engine: &id::Target, ask: Migration) {
-        self.tell(keeper, &Frame::TurnAsk { engine: engine.clone(), ask });
+    /// Requests a turn to migrate an answer from an engine, from the owner of the engine's queue.
+    pub(crate) fn request_turn(&self, owner: &id::Host, engine: &id::Target, migration: Migration) {
+        self.send(owner, &Frame::TurnAsk { engine: engine.clone(), ask: migration });
     }
 
-    pub(crate) fn grant(&self, entry: &id::Host, engine: &id::Target, request: &SmolStr) {
+    /// Grants the turn of a request to the entry that asked for it.
+    pub(crate) fn grant_turn(&self, entry: &id::Host, engine: &id::Target, request: &SmolStr) {
         let frame = Frame::Turn { engine: engine.clone(), request: request.clone() };
-        self.tell(entry, &frame);
+        self.send(entry, &frame);
     }
 
-    /// Waits until entries come or go.
+    /// Waits until a link opens or closes or the view is computed again.
     pub(crate) async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Tells what changed of the targets to all that have a link.
+    /// Sends changes of targets to all linked actives and to the followers of this entry.
     ///
-    /// Changes go over the links and not the list: with 810 targets that is a hundred kilobytes, and
-    /// targets change several times a second. Whoever misses a change shows it by its revision and
-    /// is told the whole list.
-    pub(crate) fn share_changes(&self, since: Position, changes: Vec<Change>) {
+    /// Only changes are sent, since the full list takes 100 kB with 810 targets, and targets change
+    /// several times a second. An entry that missed a change sees from the revisions in heartbeats
+    /// that it is behind, and requests the full list.
+    pub(crate) fn announce_changes(&self, since: Position, changes: Vec<Change>) {
         let revision = self.process.targets_position();
-        let (actives, _) = self.parted();
-        let told = actives.into_iter().chain(self.followers());
-        let told: BTreeSet<id::Host> = told.collect();
-        self.links.send_all(told.iter(), &Frame::Changes { since, revision, changes });
+        let (actives, _) = self.actives_and_leaves();
+        let recipients = actives.into_iter().chain(self.followers());
+        let recipients: BTreeSet<id::Host> = recipients.collect();
+        self.links.send_all(recipients.iter(), &Frame::Changes { since, revision, changes });
     }
 
-    /// The entries that this one tells of each change of targets. Others see by its heartbeats that
-    /// they miss something, which covers the loss of the one that tells them.
+    /// Returns the leaves to which this entry forwards each change of targets. Other leaves see
+    /// from its heartbeats that they are behind, which covers the loss of the entry that they
+    /// follow.
     fn followers(&self) -> Vec<id::Host> {
         let peers = self.peers.lock();
         let follows = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.follows);
         peers.values().filter(follows).map(|peer| peer.member.host.clone()).collect()
     }
 
-    /// Tells the entries that carry the traffic that a request was refused: any may meet it again.
-    pub(crate) fn share_refused(&self, print: Fingerprint, age: Duration) {
+    /// Records that a request was refused and announces it to the actives, any of which may receive
+    /// the caller's retry.
+    pub(crate) fn announce_refusal(&self, print: Fingerprint, age: Duration) {
         self.process.note_refused(print, age);
-        let (actives, _) = self.parted();
+        let (actives, _) = self.actives_and_leaves();
         self.links.send_all(actives.iter(), &Frame::Refused { print, age_ms: millis(age) });
     }
 
@@ -327,26 +347,28 @@
         self.view().actives.contains(&self.own.host)
     }
 
-    /// Keeps the view up to date. Events come in bursts, hundreds when all entries start, and each
-    /// view takes time in proportion to all that is known.
-    async fn refresh_on(self: Arc<Self>) {
+    /// Keeps the view up to date.
+    ///
+    /// Events arrive in bursts, hundreds when all entries start, and the time to compute a view
+    /// grows with the number of known entries, so one computation covers all events of an interval.
+    async fn refresh_loop(self: Arc<Self>) {
         loop {
             self.stale.notified().await;
             self.refresh();
             self.changed.notify_waiters();
-            sleep(REFRESH).await;
+            sleep(MIN_REFRESH_INTERVAL).await;
         }
     }
 
-    /// Works out anew who is alive and what part each plays.
+    /// Computes which entries are alive and the role of each.
     fn refresh(&self) {
         let own = Presence { member: self.own.clone(), ready: self.process.is_ready() };
         let mut alive: BTreeMap<id::Host, Presence> = BTreeMap::new();
         let peers = self.peers.lock();
-        for presence in peers.values().flat_map(|peer| peer.told.alive()) {
+        for presence in peers.values().flat_map(|peer| peer.announced.alive()) {
             alive.insert(presence.member.host.clone(), presence.clone());
         }
-        // What this entry hears itself goes before what it is told.
+        // The heartbeats that this entry receives itself override what others announce.
         for peer in peers.values() {
             let ready = peer.beat.as_ref().is_some_and(|beat| beat.ready);
             let presence = Presence { member: peer.member.clone(), ready };
@@ -366,129 +388,137 @@
         *self.view.lock() = Arc::new(View { alive, actives, links });
     }
 
-    /// The linked entries, parted into actives and leaves.
-    fn parted(&self) -> (Vec<id::Host>, Vec<id::Host>) {
+    /// Returns the linked entries, split into actives and leaves.
+    fn actives_and_leaves(&self) -> (Vec<id::Host>, Vec<id::Host>) {
         let view = self.view();
         let hosts: Vec<id::Host> = self.peers.lock().keys().cloned().collect();
         hosts.into_iter().partition(|host| view.actives.contains(host))
     }
 
-    async fn listen(self: Arc<Self>, mut events: mpsc::Receiver<Event>) {
+    /// Handles link events in the order of their arrival.
+    async fn handle_events(self: Arc<Self>, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
             match event {
-                Event::Up(member) => self.up(member),
-                Event::Down(host, loss) => self.down(&host, loss),
-                Event::Frame(host, frame) => self.take(&host, frame),
+                Event::Up(member) => self.link_up(member),
+                Event::Down(host, loss) => self.link_down(&host, loss),
+                Event::Frame(host, frame) => self.handle_frame(&host, frame),
             }
         }
     }
 
-    fn up(&self, member: Member) {
+    fn link_up(&self, member: Member) {
         ::log::info!(peer:% = member.host, address:% = member.peers; "peer linked");
         let host = member.host.clone();
         let peer = Peer {
             member,
             beat: None,
-            text: Ahead::default(),
-            targets: Ahead::default(),
-            told: Subscriber::default(),
-            used: self.now(),
+            text_lag: Lag::default(),
+            targets_lag: Lag::default(),
+            announced: Subscriber::default(),
+            last_used: self.now(),
         };
         self.peers.lock().insert(host.clone(), peer);
         self.stale.notify_one();
-        self.tell_alive(&host);
-        self.beat_first(&host);
-        self.tell_poison(&host);
-        self.tell_limits(&host);
+        self.send_alive(&host);
+        self.send_first_beat(&host);
+        self.send_poison(&host);
+        self.send_limits(&host);
         self.changed.notify_waiters();
     }
 
-    fn down(&self, host: &id::Host, loss: Loss) {
+    fn link_down(&self, host: &id::Host, loss: Loss) {
         ::log::warn!(
             peer:% = host, reason = loss.reason.name(), frame_ms = millis(loss.frame_ago),
             byte_ms = millis(loss.byte_ago), partial_bytes = loss.partial; "peer lost"
         );
         self.peers.lock().remove(host);
-        self.ask_others(host);
+        self.abandon_requests(host);
         self.process.set_other(host, None);
         self.stale.notify_one();
         self.changed.notify_waiters();
     }
 
-    fn take(&self, from: &id::Host, frame: Frame) {
+    fn handle_frame(&self, from: &id::Host, frame: Frame) {
         match frame {
             Frame::Hello(_) => {}
-            Frame::Alive(update) => self.take_alive(from, update),
-            Frame::WantAlive => self.tell_alive(from),
-            Frame::Beat(beat) => self.take_beat(from, beat),
-            Frame::Text(message) => self.take_message(from, message),
+            Frame::Alive(update) => self.apply_alive(from, update),
+            Frame::WantAlive => self.send_alive(from),
+            Frame::Beat(beat) => self.handle_beat(from, beat),
+            Frame::Text(message) => self.handle_text_message(from, message),
             Frame::WantTargets => self.send_targets(from),
-            Frame::Poison(records) => self.take_poison(from, records),
-            Frame::Limits(words) => self.take_limits(from, words),
-            Frame::Spent(word) => self.take_spent(from, word.target.clone(), Frame::Spent(word)),
-            Frame::SpentCold(word) => {
-                self.process.hear_cold(&word);
-                self.take_spent(from, word.target.clone(), Frame::SpentCold(word));
+            Frame::Poison(records) => self.apply_poison(from, records),
+            Frame::Limits(updates) => self.apply_limits(from, updates),
+            Frame::Spent(update) => {
+                self.handle_spent(from, update.target.clone(), Frame::Spent(update));
+            }
+            Frame::SpentCold(update) => {
+                self.process.hear_cold(&update);
+                self.handle_spent(from, update.target.clone(), Frame::SpentCold(update));
             }
-            Frame::Ask { ask, question } => self.take_question(from, ask, question),
-            Frame::Answer { ask, wait_ms } => self.take_answer(ask, wait_ms),
-            Frame::TurnAsk { engine, ask } => self.desk.ask(self, from, &engine, ask),
-            Frame::Turn { engine, request } => self.desk.grant(self, &engine, &request),
-            Frame::TurnDone { engine, request } => self.desk.done(self, &engine, &request),
+            Frame::Ask { ask, question } => self.handle_question(from, ask, question),
+            Frame::Answer { ask, wait_ms } => self.handle_answer(ask, wait_ms),
+            Frame::TurnAsk { engine, ask } => self.migrations.enqueue(self, from, &engine, ask),
+            Frame::Turn { engine, request } => self.migrations.grant(self, &engine, &request),
+            Frame::TurnDone { engine, request } => self.migrations.finish(self, &engine, &request),
             Frame::Refused { print, age_ms } => {
                 self.process.note_refused(print, Duration::from_millis(age_ms));
             }
             Frame::Targets { revision, targets } => {
-                self.lists.lock().end();
+                self.target_fetch.lock().end();
                 self.process.list_targets(revision, targets, "peer");
             }
             Frame::Changes { since, revision, changes } => {
-                self.take_changes(since, revision, changes);
+                self.apply_changes(since, revision, changes);
             }
         }
     }
 
-    /// Takes in changes from a peer, and hands them on to those that know no other active.
-    fn take_changes(&self, since: Position, revision: Position, changes: Vec<Change>) {
-        // Changes follow a list; whoever has none yet gets one with all that has changed.
+    /// Applies changes of targets from a peer. An active forwards those that were new to it to its
+    /// followers.
+    fn apply_changes(&self, since: Position, revision: Position, changes: Vec<Change>) {
+        // Changes apply to a list; an entry without one will receive a list that includes them.
         let Some(own) = self.process.listed_position() else { return };
-        // Changes of a later era follow its list, which is asked for by its heartbeats.
+        // Changes of a later era apply to its list, which is requested when a heartbeat of that era
+        // arrives.
         if revision.era() != own.era() {
             return;
         }
-        // Guards against a missed change: taking the new revision over would hide the gap, and the
-        // whole list would never be asked for.
+        // After a missed change the position must stay behind: with the new revision the gap would
+        // be hidden, and the full list would never be requested.
         let reached = if own >= since { revision } else { own };
-        let news = self.process.change_targets(reached, changes);
-        if !news.is_empty() && self.is_active() {
+        let new = self.process.change_targets(reached, changes);
+        if !new.is_empty() && self.is_active() {
             let followers = self.followers();
-            let frame = Frame::Changes { since, revision, changes: news };
+            let frame = Frame::Changes { since, revision, changes: new };
             self.links.send_all(followers.iter(), &frame);
         }
     }
 
-    /// Tells one entry the whole of what all others were told.
-    fn tell_alive(&self, to: &id::Host) {
-        let whole = self.teller.lock().snapshot();
-        self.links.send(to, &Frame::Alive(whole));
+    /// Sends one entry the full list of live entries, as announced to all others so far.
+    fn send_alive(&self, to: &id::Host) {
+        let snapshot = self.publisher.lock().snapshot();
+        self.links.send(to, &Frame::Alive(snapshot));
     }
 
-    fn take_alive(&self, from: &id::Host, update: Update) {
-        let taken = match self.peers.lock().get_mut(from) {
-            Some(peer) => peer.told.apply(update),
+    /// Applies an update of the entries that a peer announces, or requests the full list if an
+    /// earlier update was missed.
+    fn apply_alive(&self, from: &id::Host, update: Update) {
+        let applied = match self.peers.lock().get_mut(from) {
+            Some(peer) => peer.announced.apply(update),
             None => return,
         };
-        match taken {
+        match applied {
             Ok(()) => self.stale.notify_one(),
             Err(gap) => {
-                ::log::debug!(peer:% = from, error:% = gap; "update missed");
+                ::log::debug!(peer:% = from, error:% = gap; "presence update missed");
                 self.links.send(from, &Frame::WantAlive);
             }
         }
     }
 
-    /// This entry and those that it has links to, as far as others need to know of them.
-    fn linked(&self) -> Vec<Presence> {
+    /// Returns this entry and those that it has links to, limited to the ones that entries announce
+    /// to each other.
+    fn announced(&self) -> Vec<Presence> {
         let peers = self.peers.lock();
         let presence = |peer: &Peer| Presence {
             member: peer.member.clone(),
@@ -498,9 +528,9 @@
         drop(peers);
         linked.push(Presence { member: self.own.clone(), ready: self.process.is_ready() });
         let members: Vec<Member> = linked.iter().map(|one| one.member.clone()).collect();
-        let told: BTreeSet<&id::Host> =
+        let announced: BTreeSet<&id::Host> =
             topology::announced(&members).into_iter().map(|member| &member.host).collect();
-        linked.retain(|one| told.contains(&one.member.host));
+        linked.retain(|one| announced.contains(&one.member.host));
         linked
     }
 }
--- a/crates/gateway/src/process/fleet/poison.rs
+++ b/crates/gateway/src/process/fleet/poison.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of requests under which targets ended.
+//! Announces to other entries the requests during which targets crashed.
 
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::poison::Record;
@@ -7,43 +7,46 @@
 use crate::process::fleet::Fleet;
 
 impl Fleet {
-    /// Tells the actives what is news here, and the leaves what they must hold back.
-    pub(super) fn share_poison(&self) {
-        let news = self.process.take_poison();
-        if news.is_empty() {
+    /// Announces the records that have changed at this entry: all of them to the actives, and to
+    /// leaves those that matter for admission.
+    pub(super) fn announce_poison(&self) {
+        let changed = self.process.take_poison();
+        if changed.is_empty() {
             return;
         }
-        let (actives, _) = self.parted();
-        self.tell_leaves(&news);
-        self.links.send_all(actives.iter(), &Frame::Poison(news));
+        let (actives, _) = self.actives_and_leaves();
+        self.send_poison_to_leaves(&changed);
+        self.links.send_all(actives.iter(), &Frame::Poison(changed));
     }
 
-    /// Takes in what another entry tells, and hands it on to those that it does not tell itself.
-    pub(super) fn take_poison(&self, from: &id::Host, records: Vec<Record>) {
-        let news = self.process.hear_poison(records);
-        if news.is_empty() || !self.is_active() {
+    /// Applies the records of another entry. An active forwards those that were new to it: records
+    /// of an active to its leaves, records of a leaf to all.
+    pub(super) fn apply_poison(&self, from: &id::Host, records: Vec<Record>) {
+        let new = self.process.hear_poison(records);
+        if new.is_empty() || !self.is_active() {
             return;
         }
         match self.view().actives.contains(from) {
-            true => self.tell_leaves(&news),
-            false => self.process.pass_on_poison(&news),
+            true => self.send_poison_to_leaves(&new),
+            false => self.process.pass_on_poison(&new),
         }
     }
 
-    /// Tells an entry whose link has just opened all that matters.
-    pub(super) fn tell_poison(&self, to: &id::Host) {
+    /// Sends the known records over a link that has just opened.
+    pub(super) fn send_poison(&self, to: &id::Host) {
         let known = self.process.all_poison();
         if !known.is_empty() {
             self.links.send(to, &Frame::Poison(known));
         }
     }
 
-    fn tell_leaves(&self, news: &[Record]) {
-        let matters = |record: &&Record| record.is_suspect() || record.completion_age.is_some();
-        let news: Vec<Record> = news.iter().filter(matters).cloned().collect();
-        let (_, leaves) = self.parted();
-        if !news.is_empty() && self.is_active() {
-            self.links.send_all(leaves.iter(), &Frame::Poison(news));
+    /// Sends to the linked leaves those records by which they hold requests back or stop doing so.
+    fn send_poison_to_leaves(&self, records: &[Record]) {
+        let relevant = |record: &&Record| record.is_suspect() || record.completion_age.is_some();
+        let records: Vec<Record> = records.iter().filter(relevant).cloned().collect();
+        let (_, leaves) = self.actives_and_leaves();
+        if !records.is_empty() && self.is_active() {
+            self.links.send_all(leaves.iter(), &Frame::Poison(records));
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/process/fleet/target_limits.rs
@@ -0,0 +1,67 @@
+//! Announces to other entries the limits that targets advertise.
+
+use fireflyhoist_policy::id;
+use fireflyhoist_policy::target_limit::Update;
+
+use crate::connection::frame::{Frame, Question};
+use crate::process::fleet::Fleet;
+
+impl Fleet {
+    /// Announces the limits that have changed at this entry.
+    pub(super) fn announce_limits(&self) {
+        let updates = self.process.take_limits();
+        if !updates.is_empty() {
+            self.broadcast_limits(updates, true);
+        }
+    }
+
+    /// Applies the updates of another entry. An active forwards those that were new to it: updates
+    /// of an active to its leaves, updates of a leaf to the other actives too.
+    pub(super) fn apply_limits(&self, from: &id::Host, updates: Vec<Update>) {
+        let new = self.process.hear_limits(updates);
+        if !new.is_empty() && self.is_active() {
+            let leaf = !self.view().actives.contains(from);
+            self.broadcast_limits(new, leaf);
+        }
+    }
+
+    /// Sends all known limits over a link that has just opened.
+    pub(super) fn send_limits(&self, to: &id::Host) {
+        let known = self.process.all_limits();
+        if !known.is_empty() {
+            self.links.send(to, &Frame::Limits(known));
+        }
+    }
+
+    /// Sends updates to all linked leaves, and to the linked actives if `include_actives` is set.
+    fn broadcast_limits(&self, updates: Vec<Update>, include_actives: bool) {
+        let (actives, mut recipients) = self.actives_and_leaves();
+        if include_actives {
+            recipients.extend(actives);
+        }
+        self.links.send_all(recipients.iter(), &Frame::Limits(updates));
+    }
+
+    /// Counts a request that is sent without permission to a target that is limited or cold. The
+    /// owner of the target takes it from its token bucket.
+    pub(crate) fn spend(&self, target: &id::Target) {
+        let frame = match self.process.question(target) {
+            Some(Question::Cold(update)) => Frame::SpentCold(update),
+            Some(Question::Send(update)) => Frame::Spent(update),
+            Some(Question::Trial(_)) | None => return,
+        };
+        self.send(&self.owner(target.as_str()), &frame);
+    }
+
+    /// Counts a request that another entry sent without permission, or forwards the frame of a leaf
+    /// to the owner of the target.
+    pub(super) fn handle_spent(&self, from: &id::Host, target: id::Target, frame: Frame) {
+        let owner = self.owner(target.as_str());
+        // A leaf sends the frame to its primary active, which may not be the owner.
+        let forward = owner != *self.host() && !self.view().actives.contains(from);
+        match forward {
+            true => self.links.send(&owner, &frame),
+            false => self.process.spend(&target),
+        }
+    }
+}
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -1,15 +1,16 @@
-//! What lives as long as the process: settings, log, shared state, the server and its drain.
+//! Everything that lives as long as the process: settings, log, shared state, the server, and the
+//! drain at its end.
 
 pub(crate) mod clock;
 pub(crate) mod copy_usage;
 pub(crate) mod fleet;
 pub(crate) mod log;
 pub(crate) mod metrics;
+pub(crate) mod migration;
 pub(crate) mod serve;
 pub(crate) mod service_gate;
 pub(crate) mod settings;
 pub(crate) mod state;
-pub(crate) mod turn;
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,35 +29,35 @@
 use crate::process::state::Process;
 use crate::version::{follow, report};
 
-/// How often a drain looks whether requests are still in progress.
+/// The interval at which a drain checks for requests in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// How long a leaving process goes on answering at least. Callers keep an answer with addresses for
-/// up to three times its [`request::entries::TTL`](crate::request::entries), so some still arrive.
-const LINGER: Duration = Duration::from_millis(3_500);
+/// The minimum duration of a drain. Callers cache an answer with addresses for up to three times
+/// its [`request::entries::TTL`](crate::request::entries), so some still connect.
+const MIN_DRAIN: Duration = Duration::from_millis(3_500);
 
-/// Time before the end of the grace in which the process ends by itself, so that what it has
-/// written is on its way before it is killed.
-const MARGIN: Duration = Duration::from_millis(300);
+/// How long before the end of the grace period the process exits, so that data that it has written
+/// is sent before it is killed.
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long the server may take to stop; what it still holds ends with the process.
-const STOP: Duration = Duration::from_millis(100);
+/// How long the server may take to stop. Connections that it still has end with the process.
+const STOP_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How often waiting requests are looked at for deadlines that passed.
-const LANE_POLL: Duration = Duration::from_millis(20);
+/// The interval at which waiting requests are checked for expired deadlines.
+const DEADLINE_POLL: Duration = Duration::from_millis(20);
 
-/// How often the settings file is looked at for changes that no signal announced.
+/// The interval at which the settings file is checked for changes that no signal announced.
 const SETTINGS_POLL: Duration = Duration::from_secs(2);
 
-/// Why a gateway does not start.
+/// A gateway could not be started.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
     /// An address can't be bound.
     #[display("{address} can't be bound ({reason}); see what else listens there")]
     Bind {
-        /// The address of the settings.
+        /// The address in the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system.
         reason: io::Error,
     },
     /// The metrics can't be set up.
@@ -77,24 +78,28 @@
 }
 
 impl Gateway {
-    /// Binds every address of the settings, which were read from `path`, and begins to serve.
+    /// Binds every address of the settings, which were read from `path`, and starts to serve.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an address can't be bound or the metrics can't be set up.
     pub async fn bind<P: Platform>(settings: Settings, path: PathBuf) -> Result<Self, StartError> {
         let mut settings = settings;
         let listeners = Listeners::bind(&mut settings)?;
         let process = Process::open(settings).ok_or(StartError::Metrics)?;
         let address = process.settings.peers;
-        let failed = |reason| StartError::Bind { address, reason };
-        let peers = listeners.peers.try_clone().map_err(failed)?;
-        let peers = tokio::net::TcpListener::from_std(peers).map_err(failed)?;
+        let bind_error = |reason| StartError::Bind { address, reason };
+        let peers = listeners.peers.try_clone().map_err(bind_error)?;
+        let peers = tokio::net::TcpListener::from_std(peers).map_err(bind_error)?;
         let fleet = Fleet::spawn(Arc::clone(&process), peers);
-        let server = serve::spawn::<P>(&process, &fleet, listeners).map_err(failed)?;
+        let server = serve::spawn::<P>(&process, &fleet, listeners).map_err(bind_error)?;
         follow::spawn::<P>(&process, &fleet);
         report::spawn::<P>(&process, &fleet);
-        let lanes = Arc::clone(&process);
+        let polled = Arc::clone(&process);
         ntex::rt::spawn(async move {
             loop {
-                sleep(LANE_POLL).await;
-                lanes.poll_lanes();
+                sleep(DEADLINE_POLL).await;
+                polled.poll_lanes();
             }
         })
         .detach();
@@ -106,11 +111,11 @@
         Ok(Self { process, fleet, server, path })
     }
 
-    /// Serves until SIGTERM or SIGINT and then drains.
+    /// Serves until SIGTERM or SIGINT, and then drains. SIGHUP reloads the settings.
     ///
     /// # Errors
     ///
-    /// Fails where signals can't be received; nothing would end the process in order.
+    /// Fails if signals can't be received, since the process could then not be stopped gracefully.
     pub async fn run(self) -> Result<(), StartError> {
         let mut term = signal(SignalKind::terminate()).map_err(StartError::Signal)?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::Signal)?;
@@ -127,38 +132,38 @@
         Ok(())
     }
 
-    /// Where callers connect.
+    /// Returns the address on which callers are served.
     pub fn callers(&self) -> SocketAddr {
         self.process.settings.callers
     }
 
-    /// Where callers ask which entries to use.
+    /// Returns the address at which callers look up which entries to use.
     pub fn directory(&self) -> SocketAddr {
         self.process.settings.directory
     }
 
-    /// Where it says whether it is ready.
+    /// Returns the address of the readiness probe.
     pub fn readiness(&self) -> SocketAddr {
         self.process.settings.readiness
     }
 
-    /// Where other entries link to it.
+    /// Returns the address that other entries link to.
     pub fn peers(&self) -> SocketAddr {
         self.process.settings.peers
     }
 
-    /// Where it listens for their links.
+    /// Returns the address on which links of other entries are accepted.
     pub fn peers_listen(&self) -> SocketAddr {
         let settings = &self.process.settings;
         settings.peers_listen.unwrap_or(settings.peers)
     }
 
-    /// Where its metrics are read.
+    /// Returns the address of the metrics.
     pub fn metrics(&self) -> SocketAddr {
         self.process.settings.metrics
     }
 
-    /// Takes over what may change while the process runs.
+    /// Reads the settings file again, and applies those settings that may change at run time.
     fn reload(&self, cause: &str) {
         match Settings::open(&self.path) {
             Ok(settings) => {
@@ -167,35 +172,39 @@
                 }
             }
             Err(error) => {
-                ::log::warn!(cause = cause, error:% = error; "settings kept");
+                ::log::warn!(
+                    cause = cause, error:% = error;
+                    "settings can't be reloaded; the previous ones stay in force"
+                );
             }
         }
     }
 
-    /// Tells peers and callers that this host leaves, and waits for what is in progress.
+    /// Announces to peers and callers that this entry is leaving, waits until no requests are in
+    /// flight or the grace period is over, and stops the server.
     ///
-    /// Callers that connect meanwhile are still answered, but for generations: these could not end
-    /// before the process does.
+    /// Callers that connect meanwhile are still served, except for generations, which could not
+    /// complete before the process ends.
     pub async fn drain(self) {
-        let began = self.process.clock.now();
+        let started_at = self.process.clock.now();
         self.process.leave();
-        self.fleet.beat();
+        self.fleet.send_heartbeats();
         ::log::info!(open = self.process.open_requests(); "leaving");
-        let grace = self.process.bounds().grace().saturating_sub(MARGIN);
+        let grace = self.process.bounds().grace().saturating_sub(EXIT_MARGIN);
         loop {
             sleep(DRAIN_POLL).await;
-            let passed = self.process.clock.now().since(began);
-            let idle = self.process.open_requests() == 0 && passed >= LINGER;
-            if idle || passed >= grace {
+            let elapsed = self.process.clock.now().since(started_at);
+            let idle = self.process.open_requests() == 0 && elapsed >= MIN_DRAIN;
+            if idle || elapsed >= grace {
                 break;
             }
         }
         ::log::info!(open = self.process.open_requests(); "stopped");
         log::flush();
-        // Every answer that could end has ended; waiting for idle connections would outlast the
-        // grace.
-        if timeout(STOP, self.server.stop(false)).await.is_err() {
-            ::log::warn!("the server did not stop in time; the process ends all the same");
+        // No answers are left to wait for, and waiting for idle connections would exceed the grace
+        // period.
+        if timeout(STOP_TIMEOUT, self.server.stop(false)).await.is_err() {
+            ::log::warn!("server did not stop in time; exiting regardless");
         }
     }
 }
--- a/crates/gateway/src/request/carry.rs
+++ b/crates/gateway/src/request/carry.rs
@@ -17,9 +17,9 @@
 
 use crate::platform::{Copy, Platform};
 use crate::process::copy_usage::CopyUsage;
+use crate::process::migration::Turn;
 use crate::process::service_gate::Pass;
 use crate::process::state::millis;
-use crate::process::turn::Turn;
 use crate::request::attempt::{self, Begun, Ended, Extra};
 use crate::request::{Inquiry, Worker, admit, held, relocate};
 
--- a/crates/gateway/src/request/entries.rs
+++ b/crates/gateway/src/request/entries.rs
@@ -22,7 +22,7 @@
     let Some(domain) = P::asks_entries(request.path(), query) else {
         return Response::NotFound().finish();
     };
-    let mut members = fleet.ready();
+    let mut members = fleet.ready_members();
     members.sort_by_key(|member| member.domain.as_str() != domain.as_str());
     let entry = |member: Member| Entry {
         host: member.host,
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -54,7 +54,7 @@
 /// When to come back where this entry leaves and the answer would not end here.
 fn sent_away(worker: &Worker, inquiry: &Inquiry) -> Option<Duration> {
     let (since, left) = worker.process.leaving()?;
-    let others = worker.fleet.has_others();
+    let others = worker.fleet.has_ready_peer();
     let situation = State {
         peers_accept: others,
         draining_for: since,
@@ -157,7 +157,7 @@
             return refuse::lost(&self.inquiry.facts.request);
         }
         let now = self.worker.process.clock.now();
-        self.worker.fleet.share_refused(self.inquiry.print, now.since(self.inquiry.wanted));
+        self.worker.fleet.announce_refusal(self.inquiry.print, now.since(self.inquiry.wanted));
         // Callers wait no longer than a part of what they have left.
         let most = self.inquiry.left(now) / COME_BACK_PART;
         let retry_after = refusal.retry_after.min(most);
--- a/crates/gateway/src/version/follow.rs
+++ b/crates/gateway/src/version/follow.rs
@@ -179,8 +179,8 @@
 
     fn peers(&self) -> Peers {
         match self.what {
-            What::Text => self.fleet.peers(|beat| beat.text > 0 && beat.cordons.is_some()),
-            What::Targets => self.fleet.peers(|beat| beat.targets.is_some()),
+            What::Text => self.fleet.peer_state(|beat| beat.text > 0 && beat.cordons.is_some()),
+            What::Targets => self.fleet.peer_state(|beat| beat.targets.is_some()),
         }
     }
 
@@ -192,7 +192,8 @@
             if self.is_told() || !self.is_known() {
                 untold = None;
             } else {
-                let patience = || now + backoff::initial_delay(self.fleet.part(), rand::random());
+                let patience =
+                    || now + backoff::initial_delay(self.fleet.registry_role(), rand::random());
                 if now >= *untold.get_or_insert_with(patience) {
                     return;
                 }
@@ -233,7 +234,7 @@
         if self.fleet.is_alone() && self.process.is_idle() {
             return IDLE_PAUSE;
         }
-        if self.fleet.watcher() == Some(0) { TARGETS_PAUSE } else { SECOND_PAUSE }
+        if self.fleet.watcher_rank() == Some(0) { TARGETS_PAUSE } else { SECOND_PAUSE }
     }
 
     /// Whether others watch and would tell this entry what it misses.
@@ -246,13 +247,13 @@
         }
         match self.what {
             What::Targets => {
-                let told = self.fleet.watcher().is_none();
+                let told = self.fleet.watcher_rank().is_none();
                 if told {
                     self.process.set_watching(false);
                 }
                 told
             }
-            What::Text => self.fleet.is_standby() && self.fleet.is_covered(),
+            What::Text => self.fleet.is_standby() && self.fleet.peers_reach_registry(),
         }
     }
 
@@ -312,7 +313,9 @@
             What::Targets => WATCH_TARGETS,
             // The failure: the connections of all entries to the registry fall silent together, each
             // relies on the others, and a new text is in force nowhere for half a minute.
-            What::Text if self.fleet.is_covered() && self.fleet.watcher().is_none() => {
+            What::Text
+                if self.fleet.peers_reach_registry() && self.fleet.watcher_rank().is_none() =>
+            {
                 WATCH_COVERED
             }
             What::Text => WATCH_WAIT,
@@ -346,7 +349,7 @@
         if self.what == What::Targets {
             self.process.set_watching(false);
         }
-        sleep(backoff::delay(self.fleet.part(), self.failures, rand::random())).await;
+        sleep(backoff::delay(self.fleet.registry_role(), self.failures, rand::random())).await;
     }
 
     fn take_list(&self, at: Position, items: Vec<Result<Item, DecodeError>>) {
@@ -369,7 +372,7 @@
         };
         // What a list changes is told by the next heartbeats: those that miss it are told all.
         if changed {
-            self.fleet.beat();
+            self.fleet.send_heartbeats();
         }
     }
 
@@ -378,11 +381,11 @@
         let since = self.process.targets_position();
         let news = self.process.change_targets(at, read.targets);
         if !news.is_empty() {
-            self.fleet.share_changes(since, news);
+            self.fleet.announce_changes(since, news);
         }
         let cordoned = self.what == What::Text && self.process.change_cordons(at, &read.cordons);
         if read.adopted || cordoned {
-            self.fleet.beat();
+            self.fleet.send_heartbeats();
         }
     }
 
--- a/crates/gateway/src/version/report.rs
+++ b/crates/gateway/src/version/report.rs
@@ -37,7 +37,7 @@
     ntex::rt::spawn(async move {
         loop {
             sleep(PAUSE).await;
-            if fleet.is_blind() {
+            if fleet.are_targets_unwatched() {
                 ask_all::<P>(&process, &fleet);
             }
         }
@@ -74,6 +74,6 @@
     }
     let since = process.targets_position();
     if let Some(change) = process.target_leaves(&target.id) {
-        fleet.share_changes(since, vec![change]);
+        fleet.announce_changes(since, vec![change]);
     }
 }
