--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -8,7 +8,7 @@
 //! until that entry had it, the link of the entry would be overloaded: heartbeats would be delayed,
 //! its links closed with partly received data, and everything would start again with the next peer.
 //! In a simulated day with two texts of 4,000 routes each, every host on a link of 10 Mbit/s lost
-//! five links and received 4.9 MB for each text of 1.1 MB, and the second text came into force up
+//! five links and received 4.9 MB, although each text has 1.1 MB. The second text came into force up
 //! to 3.6 s after its acknowledgement.
 
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 /// the leaving of a target must be known.
 const MAX_LAG: Duration = Duration::from_millis(450);
 
-/// The time since when this entry has been behind a peer; `None` if it is not behind.
+/// The time at which this entry fell behind a peer; `None` if it is not behind.
 #[derive(Debug, Default)]
 pub(super) struct Lag(Option<Time>);
 
--- a/crates/gateway/src/process/fleet/heartbeat.rs
+++ b/crates/gateway/src/process/fleet/heartbeat.rs
@@ -33,6 +33,7 @@
         }
     }
 
+    /// Sends a heartbeat to all linked actives, after announcing poison records and limits to them.
     fn send_to_actives(&self) {
         self.announce_poison();
         self.announce_limits();
@@ -40,7 +41,7 @@
         let view = self.view();
         let endings = self.process.take_endings();
         if self.is_active() {
-            // Includes what leaves have in flight; other actives announce their own.
+            // Includes what leaves have in flight; other actives announce their own load.
             let held = self.process.held_with(|host| !view.actives.contains(host));
             let beat = Beat { endings, ..self.new_beat(held) };
             self.links.send_all(actives.iter(), &Frame::Beat(beat));
@@ -49,7 +50,7 @@
         let primary = view.links.first().map(|member| &member.host);
         let source = self.change_source();
         for active in &actives {
-            // Sent to one active only, or it would be counted twice.
+            // The load is sent to one active only, or it would be counted twice.
             let held = if Some(active) == primary { self.process.held() } else { Vec::new() };
             let follows = Some(active) == source.as_ref();
             let endings = endings.clone();
@@ -74,6 +75,8 @@
         self.links.send(to, &Frame::Beat(beat));
     }
 
+    /// Sends a heartbeat to all linked leaves. Only leaves that have requests in flight get the load of
+    /// the other entries, each without its own.
     fn send_to_leaves(&self) {
         let (_, leaves) = self.actives_and_leaves();
         let (busy, idle): (Vec<id::Host>, Vec<id::Host>) =
--- a/crates/gateway/src/process/fleet/links.rs
+++ b/crates/gateway/src/process/fleet/links.rs
@@ -28,7 +28,8 @@
 /// retransmits the lost packet.
 const STARTUP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long seeds dial each other after their start even if they have links.
+/// How long after its start an entry counts as starting. Seeds dial each other during this time even
+/// if they have links.
 const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 
 /// The interval at which an entry dials one seed that it does not know to be alive, so that parts
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -1,10 +1,10 @@
 //! The other entries of the fleet: links, membership, heartbeats, and who watches the registry.
 //!
 //! An entry that answers on a link is alive, and announces which entries it has links to itself;
-//! there is no central list. `policy::topology` decides which live entries are active, that is, serve
-//! callers, and which entries link to each other. The in-flight load of each target is summed along
-//! the links: every heartbeat carries all that its sender knows, except for what it received from
-//! the recipient.
+//! there is no central list. `policy::topology` decides which live entries are active, that is,
+//! serve callers, and which entries link to each other. The in-flight load of each target is summed
+//! along the links: every heartbeat carries all that its sender knows, except for what it received
+//! from the recipient.
 
 mod catchup;
 mod heartbeat;
@@ -62,9 +62,9 @@
     member: Member,
     /// Its last heartbeat.
     beat: Option<Beat>,
-    /// The time since when its text has been newer than this entry's.
+    /// How long this entry's text has been older than that of the peer.
     text_lag: Lag,
-    /// The time since when its list of targets has been newer than this entry's.
+    /// How long this entry's list of targets has been older than that of the peer.
     targets_lag: Lag,
     /// The entries that it announces as alive.
     announced: Subscriber,
@@ -333,10 +333,11 @@
 
     /// Records that a request was refused and announces it to the actives, any of which may receive
     /// the caller's retry.
-    pub(crate) fn announce_refusal(&self, print: Fingerprint, age: Duration) {
-        self.process.note_refused(print, age);
+    pub(crate) fn announce_refusal(&self, fingerprint: Fingerprint, age: Duration) {
+        self.process.note_refused(fingerprint, age);
         let (actives, _) = self.actives_and_leaves();
-        self.links.send_all(actives.iter(), &Frame::Refused { print, age_ms: millis(age) });
+        self.links
+            .send_all(actives.iter(), &Frame::Refused { print: fingerprint, age_ms: millis(age) });
     }
 
     fn view(&self) -> Arc<View> {
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -49,7 +49,7 @@
 /// The interval at which the settings file is checked for changes that no signal announced.
 const SETTINGS_POLL: Duration = Duration::from_secs(2);
 
-/// A gateway could not be started.
+/// An error that prevents a gateway from starting.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
     /// An address can't be bound.
--- a/crates/gateway/src/process/serve.rs
+++ b/crates/gateway/src/process/serve.rs
@@ -88,30 +88,30 @@
     listeners: Listeners,
 ) -> io::Result<Server> {
     let builder = ntex::server::build().workers(WORKERS).disable_signals();
-    let (own, known) = (Arc::clone(process), Arc::clone(fleet));
+    let (process_handle, fleet_handle) = (Arc::clone(process), Arc::clone(fleet));
     let builder = builder.listen("callers", listeners.callers, async move |_| {
-        let worker = Worker::open(Arc::clone(&own), Arc::clone(&known));
+        let worker = Worker::open(Arc::clone(&process_handle), Arc::clone(&fleet_handle));
         HttpService::h1(async move |request: Request| {
             Ok::<_, io::Error>(request::serve::<P>(&worker, request).await)
         })
     })?;
-    let own = Arc::clone(process);
+    let process_handle = Arc::clone(process);
     let builder = builder.listen("readiness", listeners.readiness, async move |_| {
-        let process = Arc::clone(&own);
+        let process = Arc::clone(&process_handle);
         HttpService::h1(async move |request: Request| {
             Ok::<_, io::Error>(request::probe::readiness::<P>(&process, &request))
         })
     })?;
-    let known = Arc::clone(fleet);
+    let fleet_handle = Arc::clone(fleet);
     let builder = builder.listen("directory", listeners.directory, async move |_| {
-        let fleet = Arc::clone(&known);
+        let fleet = Arc::clone(&fleet_handle);
         HttpService::h1(async move |request: Request| {
             Ok::<_, io::Error>(request::entries::answer::<P>(&fleet, &request))
         })
     })?;
-    let own = Arc::clone(process);
+    let process_handle = Arc::clone(process);
     let builder = builder.listen("metrics", listeners.metrics, async move |_| {
-        let process = Arc::clone(&own);
+        let process = Arc::clone(&process_handle);
         HttpService::h1(async move |_: Request| {
             Ok::<_, io::Error>(request::probe::metrics(&process))
         })
--- a/crates/gateway/src/process/service_gate.rs
+++ b/crates/gateway/src/process/service_gate.rs
@@ -99,8 +99,8 @@
     /// Returns the number of excluded targets by reason, as `REASON:COUNT` separated by spaces.
     pub fn exclusions(&self) -> SmolStr {
         let counts = self.state.lock().gate.exclusions(self.clock.now());
-        let words = counts.iter().map(|(why, count)| format!("{why}:{count}"));
-        words.collect::<Vec<_>>().join(" ").into()
+        let parts = counts.iter().map(|(why, count)| format!("{why}:{count}"));
+        parts.collect::<Vec<_>>().join(" ").into()
     }
 
     /// Sets which entries send to the targets; see [`Gate::set_order`].
@@ -109,8 +109,8 @@
     }
 
     /// Sets the retry budget of this entry.
-    pub fn set_retries(&self, terms: retry::Limits) {
-        self.state.lock().gate.set_retries(terms);
+    pub fn set_retries(&self, limits: retry::Limits) {
+        self.state.lock().gate.set_retries(limits);
     }
 
     /// Records that a target has restarted.
--- a/crates/gateway/src/process/settings.rs
+++ b/crates/gateway/src/process/settings.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Deserializer};
 use smol_str::SmolStr;
 
-/// The settings can't be used.
+/// An error in reading a settings file.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file can't be read.
