--- a/crates/gateway/src/request/liveness.rs
+++ b/crates/gateway/src/request/liveness.rs
@@ -84,7 +84,7 @@
     /// `interrupted_at`.
     fn record(&self, status: Status, interrupted_at: Time) {
         let run_time = interrupted_at.since(self.sent_at);
-        self.process.metrics.broken(status);
+        self.process.metrics.broken_run(status);
         let crashes = match status {
             Status::Crashed => {
                 self.process.note_end(interrupted_at, self.fingerprint, &self.target, run_time)
--- a/crates/gateway/src/request/migration.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -17,10 +17,10 @@
 use ntex::time::sleep;
 
 use crate::platform::{Copy, Platform};
-use crate::process::kept::Kept;
-use crate::process::lane::Pass;
+use crate::process::copy_usage::CopyUsage;
+use crate::process::migration::Turn;
+use crate::process::service_gate::Pass;
 use crate::process::state::millis;
-use crate::process::turn::Turn;
 use crate::request::attempt::{self, Error, Options, Started};
 use crate::request::{Context, Worker, admission, quarantine, transfer};
 
@@ -56,7 +56,7 @@
 /// A copy of an answer's memory that another engine keeps up to date while the answer grows.
 #[derive(Debug)]
 pub(crate) struct Backup {
-    reservation: Kept,
+    reservation: CopyUsage,
     listed: Target,
 }
 
@@ -74,10 +74,10 @@
             return None;
         }
         let neighbours = worker.process.neighbours(current);
-        let candidates = pass.refuges(&neighbours, Some(BACKUP_RESERVE));
+        let candidates = pass.migration_targets(&neighbours, Some(BACKUP_RESERVE));
         let candidate = candidates.into_iter().find(|candidate| candidate != current)?;
         let target = worker.process.target(&candidate)?;
-        let reservation = Kept::open(&worker.process, &target.id, context.facts.prompt.get());
+        let reservation = CopyUsage::open(&worker.process, &target.id, context.facts.prompt.get());
         Some(Self { reservation, listed: target })
     }
 
@@ -96,7 +96,7 @@
 
     /// Sets the number of tokens that the backup holds now.
     pub(crate) fn grow(&mut self, tokens: u64) {
-        self.reservation.grow(tokens);
+        self.reservation.resize(tokens);
     }
 }
 
@@ -143,7 +143,7 @@
     pub(crate) target: id::Target,
     pub(crate) started: Started,
     /// The memory counted for its copy, until the answer itself is counted at the new engine.
-    pub(crate) reservation: Option<Kept>,
+    pub(crate) reservation: Option<CopyUsage>,
 }
 
 /// Migrates an answer to the next engine. The old run continues until this returns, except during
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -54,7 +54,7 @@
 
 /// Logs and counts a decision about a quarantined request.
 fn log_decision(worker: &Worker, context: &Context, decision: &'static str, wait: Duration) {
-    worker.process.metrics.held(decision);
+    worker.process.metrics.held_back(decision);
     log::info!(
         request = context.facts.request.as_str(), print:% = context.fingerprint,
         decision = decision, ends = worker.process.ends(context.fingerprint),
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -20,7 +20,7 @@
 
 use crate::connection::exchange::Response;
 use crate::platform::Platform;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::process::state::Open;
 use crate::request::attempt::{Error, Started};
 use crate::request::migration::{self, Backup, Plan, Resumed, Strategy};
@@ -298,7 +298,7 @@
     fn candidates(&self) -> Vec<Target> {
         let process = &self.worker.process;
         let neighbours = process.neighbours(self.pass.target());
-        let candidates = self.pass.refuges(&neighbours, None);
+        let candidates = self.pass.migration_targets(&neighbours, None);
         candidates.iter().filter_map(|candidate| process.target(candidate)).collect()
     }
 
