--- a/crates/gateway/src/header.rs
+++ b/crates/gateway/src/header.rs
@@ -1,22 +1,23 @@
-//! Reading and writing single headers, for implementations of [`crate::platform::Dialect`].
+//! Helpers that read and write single headers, for implementations of [`crate::platform::Dialect`].
 
 use ntex::http::HeaderMap;
 use ntex::http::header::{HeaderName, HeaderValue};
 
-/// A header's value as text; `None` where it is absent or no text.
+/// A header's value as trimmed text; `None` where the header is absent or its value is not text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-/// A header's value as a whole number; `None` where it is none.
+/// A header's value as a whole number; `None` where the header is absent or its value is not a
+/// number.
 pub fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
     text(headers, name)?.parse().ok()
 }
 
-/// Sets a header, in place of any that stands.
+/// Sets a header and replaces its old value.
 ///
-/// A value that no header may hold is left out: values are addresses, numbers and names that came
-/// in as headers or as text of the operators.
+/// A value that is not allowed in a header is left out and logged. Values are addresses, numbers
+/// and names that came in as headers or in the configuration text.
 pub fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => headers.insert(HeaderName::from_static(name), value),
--- a/crates/gateway/src/native.rs
+++ b/crates/gateway/src/native.rs
@@ -1,6 +1,5 @@
-//! The product's own names on the wire, for deployments without a platform of their own.
-//!
-//! `docs/PROTOCOLS.md` has them for callers, targets and registries.
+//! The product's own wire format, for deployments without a platform of their own: what callers,
+//! targets and registries send and receive.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,30 +23,30 @@
     What,
 };
 
-/// Milliseconds that are left for a request.
+/// Milliseconds left for a request.
 pub const TIMEOUT_HEADER: &str = "fireflyhoist-timeout-ms";
-/// Tokens of the prompt.
+/// Number of tokens in the prompt.
 pub const PROMPT_HEADER: &str = "fireflyhoist-prompt-tokens";
-/// The most tokens of the answer.
+/// Most tokens that the answer may have.
 pub const LIMIT_HEADER: &str = "fireflyhoist-max-tokens";
-/// The caller's guess at the tokens of the answer.
+/// The caller's estimate of the tokens in the answer.
 pub const GUESS_HEADER: &str = "fireflyhoist-expected-tokens";
-/// The instance that must answer a request.
+/// The instance that must answer the request; any other declines it.
 pub const INSTANCE_HEADER: &str = "fireflyhoist-instance";
-/// Rank at an engine.
+/// Rank in the engine's queue; 0 goes first.
 pub const URGENCY_HEADER: &str = "fireflyhoist-rank";
-/// The engine that keeps a copy of a run.
+/// Address of the engine that keeps a copy of the run.
 pub const BACKUP_HEADER: &str = "fireflyhoist-backup";
-/// `ADDRESS/NAME` of the copy that a run goes on from.
+/// `ADDRESS/NAME` of the copy from which the run resumes.
 pub const COPY_HEADER: &str = "fireflyhoist-copy";
-/// Requests a second that a target in need takes, of all entries together.
+/// Requests a second that an overloaded target accepts from all entries together.
 pub const TAKES_HEADER: &str = "fireflyhoist-takes-per-s";
-/// How often the registry has come back from an older copy, in all its answers.
+/// Number of times the registry was restored from an older copy; set in all its replies.
 pub const ERA_HEADER: &str = "fireflyhoist-registry-era";
-/// Set by a target that did not run a request.
+/// Set by a target that did not run the request.
 pub const DECLINED_HEADER: &str = "fireflyhoist-declined";
 
-/// What only an entry may say to a target.
+/// Headers that only an entry may set on a request to a target; those of callers are removed.
 const OWN: [&str; 7] = [
     "authorization",
     WORKSPACE_HEADER,
@@ -58,7 +57,7 @@
     TIMEOUT_HEADER,
 ];
 
-/// The product's own wire.
+/// The product's own wire format.
 #[derive(Clone, Copy, Debug)]
 pub enum Native {}
 
@@ -121,18 +120,18 @@
     }
 }
 
-/// What a registry replies to a list or a watch.
+/// The reply of a registry to a list or watch call.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Listing {
-    /// The registry's revision.
+    /// The registry's revision at the time of the reply.
     pub revision: u64,
-    /// The text, where it was asked for or has changed.
+    /// The text, where it was requested or has changed.
     #[serde(default)]
     pub text: Option<Text>,
-    /// Targets that were written or are gone.
+    /// Targets that were written or removed.
     #[serde(default)]
     pub targets: Vec<lease::Change>,
-    /// Failure domains that were cordoned or are no more, with the text.
+    /// Failure domains that were cordoned or whose cordon was lifted; sent along with the text.
     #[serde(default)]
     pub cordons: Vec<cordon::Change>,
 }
@@ -174,24 +173,24 @@
 /// The body of `POST /v1/runs/REQUEST/move`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Move {
-    /// The engine that takes the run.
+    /// The engine to move the run to.
     pub to: SocketAddr,
-    /// Whether the run stops first.
+    /// Whether the run stops before the copy, which is then the last one.
     pub last: bool,
 }
 
-/// The reply to a move.
+/// The reply to a move request.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Copied {
-    /// The copy's name at the engine that was asked.
+    /// The copy's name at the engine that was called.
     #[serde(default)]
     pub copy: Option<SmolStr>,
 }
 
-/// What a gateway reads of the reply to `GET /v1/report`.
+/// The part of an engine's reply to `GET /v1/report` that a gateway reads.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct State {
-    /// Whether the engine will end soon.
+    /// Whether the engine will stop soon.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -1,7 +1,7 @@
-//! What a deployment's wire looks like, behind small traits.
+//! The wire format of a deployment, behind small traits.
 //!
-//! Implementations translate and decide nothing. Each is a type without values, chosen at compile
-//! time, so that the request path calls it directly.
+//! Implementations only translate and make no decisions. Each is a type without values that is
+//! chosen at compile time, so the request path calls it without dynamic dispatch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,26 +16,27 @@
 use ntex::http::{HeaderMap, Method, StatusCode};
 use smol_str::SmolStr;
 
-/// What a caller says about its request, beside method, path and body.
+/// What a caller's headers say about its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Facts {
-    /// The caller's name for this attempt.
+    /// The caller's id of this attempt.
     pub request: SmolStr,
-    /// How long the caller will wait.
+    /// How long the caller waits for the answer.
     pub patience: Option<Duration>,
-    /// The key that it shows.
+    /// The caller's API key.
     pub key: Option<SmolStr>,
-    /// Tokens of the prompt; zero where it is no generation.
+    /// Number of tokens in the prompt; zero where the request is no generation.
     pub prompt: Tokens,
-    /// The most tokens of the answer; zero where it is no generation.
+    /// Most tokens that the answer may have; zero where the request is no generation.
     pub limit: Tokens,
-    /// The caller's guess at the tokens of the answer, right at the median and often far off.
+    /// The caller's estimate of the tokens in the answer: right at the median, often far off for a
+    /// single request.
     pub guess: Option<Tokens>,
-    /// The last event that the caller has of an earlier attempt.
+    /// The last event that the caller received on an earlier attempt.
     pub last_event: Option<u64>,
 }
 
-/// A copy of a run's memory, from which another target goes on.
+/// A copy of a run's engine memory, from which another target resumes the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Copy {
     /// The engine that made or holds the copy.
@@ -44,64 +45,64 @@
     pub name: SmolStr,
 }
 
-/// What the gateway adds to a request on its way to a target.
+/// What the gateway tells a target about a request in headers.
 #[derive(Clone, Debug)]
 pub struct Stamp<'a> {
-    /// The instance that must answer; any other declines.
+    /// The instance that must answer the request; any other declines it.
     pub instance: &'a str,
-    /// Time left.
+    /// Time left for the request.
     pub left: Duration,
-    /// The workspace as targets are told it.
+    /// The workspace under the name that targets know.
     pub workspace: Option<&'a str>,
-    /// The engine that keeps a copy of the run as it grows.
+    /// The engine that keeps a copy of the run while it grows.
     pub backup: Option<SocketAddr>,
-    /// Where the run goes on from.
+    /// The copy from which the run resumes.
     pub copy: Option<&'a Copy>,
-    /// The last event delivered.
+    /// The last event that was delivered to the caller.
     pub last_event: Option<u64>,
-    /// Rank at the engine; 0 goes first.
+    /// Rank in the engine's queue; 0 goes first.
     pub urgency: u8,
 }
 
 /// What a target's response says about the request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
-    /// The request that it answers, where it says so.
+    /// The id of the request that is answered, where the target names it.
     pub request: Option<SmolStr>,
-    /// Whether the target says that it did not run it.
+    /// Whether the target declined the request without running it.
     pub declined: bool,
     /// Whether another instance answers at the target's address.
     pub misdirected: bool,
-    /// What the target says it takes.
+    /// The limit that the target advertises.
     pub limit: Advertisement,
 }
 
-/// Headers of requests and responses.
+/// Headers of requests and responses, and the endpoints that callers use beside routes.
 pub trait Dialect: 'static {
-    /// The path on which a host says whether it is ready.
+    /// The path of the readiness check.
     const READINESS: &'static str;
 
     /// Reads what a caller says about its request.
     fn facts(headers: &HeaderMap) -> Facts;
 
-    /// Replaces what only the system may say, whatever the caller sent, by what it says.
+    /// Sets the headers that only the gateway may set, in place of whatever the caller sent.
     fn stamp(headers: &mut HeaderMap, stamp: &Stamp<'_>);
 
-    /// Reads what a target says.
+    /// Reads the headers of a target's response.
     fn reply(status: StatusCode, headers: &HeaderMap) -> Reply;
 
-    /// The domain in which a caller that asks for addresses stands, or `None` where this is no
-    /// such question.
+    /// The failure domain of a caller that asks for the addresses of entries; `None` where the
+    /// request is not such a query.
     fn asks_entries(path: &str, query: &str) -> Option<SmolStr>;
 
-    /// The answer with entries in the order in which to use them.
+    /// Encodes the answer to such a query, with entries in the order in which to use them.
     fn entries(entries: &[Entry], ttl: Duration) -> Vec<u8>;
 }
 
-/// What is read from the registry.
+/// What is listed and watched at the registry.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum What {
-    /// The operators' text, and cordons.
+    /// The operators' configuration text, and cordons.
     #[display("text")]
     Text,
     /// Targets.
@@ -109,18 +110,18 @@
     Targets,
 }
 
-/// One thing read.
+/// One item of a registry reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    /// A version of the text.
+    /// A version of the configuration text.
     Text(Box<Text>),
-    /// A target was written or is gone.
+    /// A target was written or removed.
     Target(lease::Change),
     /// A failure domain was cordoned, or its cordon lifted; read along with texts.
     Cordon(cordon::Change),
 }
 
-/// A reply of the registry that cannot be read.
+/// A registry reply, or an item of one, that cannot be decoded.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{what}; the registry must write what this release reads")]
 pub struct DecodeError {
@@ -128,84 +129,86 @@
     pub what: String,
 }
 
-/// What one call of the registry returned.
+/// The content of one registry reply.
 #[derive(Debug)]
 pub struct Page {
-    /// Things read, those that cannot be understood with the reason.
+    /// Items; one that cannot be decoded is the error with its reason.
     pub items: Vec<Result<Item, DecodeError>>,
-    /// From where the list goes on.
+    /// Where the next page of a list begins; `None` on the last page.
     pub next: Option<SmolStr>,
-    /// The registry's revision at the time.
+    /// The registry's revision at the time of the reply.
     pub revision: u64,
 }
 
-/// The registry of texts and targets, which can only be read.
+/// Read access to the registry of texts and targets.
 pub trait Registry: 'static {
-    /// How often the registry says that it came back from a copy; `None` where it says nothing.
+    /// The number of times the registry was restored from an older copy; `None` where it does not
+    /// report it.
     fn era(headers: &HeaderMap) -> Option<u64>;
 
-    /// The path and query of a list call.
+    /// The path and query of a list call, for the page that begins at `after`.
     fn list(what: What, after: Option<&str>) -> String;
 
-    /// The path and query of a call that waits for changes.
+    /// The path and query of a watch call, which waits up to `wait` for changes after revision
+    /// `since`.
     fn watch(what: What, since: u64, wait: Duration) -> String;
 
-    /// Reads the reply of a list call.
+    /// Decodes the reply to a list call.
     fn page(what: What, body: &[u8]) -> Result<Page, DecodeError>;
 
-    /// Reads the reply of a watch call.
+    /// Decodes the reply to a watch call.
     fn news(what: What, body: &[u8]) -> Result<Page, DecodeError>;
 }
 
-/// A call to an engine.
+/// An HTTP call to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path.
+    /// Path and query.
     pub path: String,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// How a move ended.
+/// The result of moving a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Moved {
     /// The copy is complete.
     Copied {
-        /// Its name at the engine that it left.
+        /// The copy's name at the engine that the run leaves.
         name: SmolStr,
     },
-    /// The engine runs no such request.
+    /// The engine does not run the request.
     NoRun,
-    /// Another call for the same run is under way.
+    /// Another move of the same run is in progress.
     Busy,
-    /// No room, or the destination cannot be reached; the name is that of a run that was stopped.
+    /// The destination has no room or cannot be reached.
     Refused {
-        /// What the source keeps, where it stopped.
+        /// The copy at the source, where the run was stopped first.
         name: Option<SmolStr>,
     },
 }
 
-/// Calls to engines beside requests.
+/// Calls to engines other than requests of callers.
 pub trait Engines: 'static {
-    /// Copies a run's memory to another engine; `last` stops it first.
+    /// Copies a run's memory to another engine; with `last` the run is stopped first.
     fn move_run(request: &str, to: SocketAddr, last: bool) -> Call;
 
-    /// Frees a copy that nobody goes on from, at the engine that made or holds it.
+    /// Frees a copy that no run resumes from, at the engine that made or holds it.
     fn drop_copy(name: &str) -> Call;
 
-    /// Asks an engine for its own state.
+    /// Requests an engine's report on its own state.
     fn report() -> Call;
 
-    /// Whether an engine's reply says that it leaves.
+    /// Whether an engine's report says that it drains.
     fn leaves(status: StatusCode, body: &[u8]) -> bool;
 
-    /// Reads the reply of a move.
+    /// Decodes the reply to a move.
     fn moved(status: StatusCode, body: &[u8]) -> Moved;
 }
 
-/// All of a deployment's wire.
+/// The whole wire format of a deployment.
 pub trait Platform: Dialect + Registry + Engines {}
 
 impl<T: Dialect + Registry + Engines> Platform for T {}
--- a/crates/gateway/src/process/state/cordon.rs
+++ b/crates/gateway/src/process/state/cordon.rs
@@ -1,4 +1,4 @@
-//! Cordoned failure domains, as this process knows them.
+//! Cordoned failure domains as this process knows them.
 
 use std::collections::BTreeSet;
 
@@ -10,56 +10,59 @@
 use crate::process::state::Process;
 
 impl Process {
-    /// Whether it is known which failure domains are cordoned.
+    /// Whether the set of cordoned failure domains is known.
     pub(crate) fn knows_cordons(&self) -> bool {
         self.cordons.lock().is_known()
     }
 
-    /// Whether nothing new is sent to a target because of where it stands.
+    /// Whether a target gets no new requests because its failure domain is cordoned.
     pub(crate) fn is_cordoned(&self, target: &Target) -> bool {
         self.cordons.lock().contains(&target.domain)
     }
 
-    /// Failure domains that get nothing new.
+    /// Number of cordoned failure domains.
     pub(crate) fn cordoned_domains(&self) -> usize {
         self.cordons.lock().all().count()
     }
 
-    /// Takes in all cordons.
+    /// Replaces all cordons by a list from the registry; returns whether peers need the result at
+    /// once.
     pub(crate) fn list_cordons(&self, at: Position, listed: BTreeSet<id::Domain>) -> bool {
         let now = self.clock.now();
         self.update_cordons("registry", |cordons| cordons.apply_list(now, at, listed))
     }
 
-    /// Takes in single changes of cordons.
+    /// Applies changes of cordons from the registry; returns whether peers need the result at once.
     pub(crate) fn change_cordons(&self, at: Position, changes: &[Change]) -> bool {
         let now = self.clock.now();
         self.update_cordons("registry", |cordons| cordons.apply_changes(now, at, changes))
     }
 
-    /// Takes in what another entry tells.
+    /// Applies an update from another entry; returns whether peers need the result at once.
     pub(crate) fn hear_cordons(&self, word: Update) -> bool {
         let now = self.clock.now();
         self.update_cordons("peer", |cordons| cordons.apply_update(now, word))
     }
 
-    /// Drops cordons that a registry still lacks some time after it came back from a copy.
+    /// Drops cordons that the registry still does not list some time after it was restored from an
+    /// older copy.
     pub(super) fn expire_cordons(&self) {
         let now = self.clock.now();
         self.update_cordons("timeout", |cordons| cordons.expire(now));
     }
 
-    /// What an entry is told when its link opens.
+    /// The update for an entry whose link has just opened; `None` where no cordons are known.
     pub(crate) fn cordon_word(&self) -> Option<Update> {
         self.cordons.lock().to_update(self.clock.now())
     }
 
-    /// What others are told in each heartbeat; see [`Cordons::heartbeat_update`].
+    /// The update for each heartbeat; see [`Cordons::heartbeat_update`].
     pub(crate) fn cordon_news(&self) -> Option<Update> {
         self.cordons.lock().heartbeat_update(self.clock.now())
     }
 
-    /// Returns whether others should hear of it at once.
+    /// Changes the cordons, logs the difference and refreshes the lanes; returns whether peers need
+    /// the result at once.
     fn update_cordons(
         &self,
         source: &'static str,
--- a/crates/gateway/src/process/state/holdings.rs
+++ b/crates/gateway/src/process/state/holdings.rs
@@ -1,4 +1,4 @@
-//! What entries hold at targets: memory of running answers, and of copies of them.
+//! Engine memory that entries use at targets: that of running answers and of copies of them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,7 +12,8 @@
 use crate::process::state::Process;
 
 impl Process {
-    /// Counts tokens of a copy at the target that keeps it, or takes them off again.
+    /// Changes the tokens that a copy takes at its target from `before` to `after`; 0 stands for no
+    /// copy.
     pub(crate) fn count_copy(&self, target: &id::Target, before: u64, after: u64) {
         let mut copies = self.copies.lock();
         let kept = copies.entry(target.clone()).or_default();
@@ -22,7 +23,7 @@
         }
     }
 
-    /// What this entry holds at each target.
+    /// Memory that this entry uses at each target.
     pub(crate) fn held(&self) -> Vec<Held> {
         let lanes: Vec<Arc<Lane>> = self.lanes.read().values().cloned().collect();
         let mut held: Vec<Held> = Vec::new();
@@ -36,7 +37,7 @@
         sum(held.iter())
     }
 
-    /// What this entry and those that `with` picks of the others hold.
+    /// Memory that this entry and the other entries selected by `with` use at each target.
     pub(crate) fn held_with(&self, with: impl Fn(&id::Host) -> bool) -> Vec<Held> {
         let own = self.held();
         let others = self.others.lock();
@@ -44,7 +45,8 @@
         sum(own.iter().chain(picked))
     }
 
-    /// Takes in what another entry holds, `None` where it is gone; returns whether that is new.
+    /// Sets what another entry uses, `None` where the entry is gone; returns whether that changed
+    /// anything.
     pub(crate) fn set_other(&self, host: &id::Host, held: Option<Vec<Held>>) -> bool {
         let mut others = self.others.lock();
         if others.get(host) == held.as_ref() {
@@ -57,12 +59,12 @@
         true
     }
 
-    /// Whether an entry has told that it holds anything.
+    /// Whether an entry reported that it uses memory at any target.
     pub(crate) fn holds(&self, host: &id::Host) -> bool {
         self.others.lock().get(host).is_some_and(|held| !held.is_empty())
     }
 
-    /// Tells the gates what all entries together hold at each engine.
+    /// Passes the memory that all entries together use at each engine to the lanes.
     pub(crate) fn report(&self) {
         let Some(table) = self.table() else { return };
         let mut sums: HashMap<id::Target, Sum> = HashMap::new();
@@ -96,7 +98,7 @@
     }
 }
 
-/// What all entries hold at one target.
+/// Memory that all entries use at one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
     tokens: u64,
--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/intake.rs
@@ -1,4 +1,4 @@
-//! What targets take, as this process knows it: those that name a limit, and those that are cold.
+//! Request rates of targets: limits that targets advertise, and limits of targets that are cold.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::process::state::{Process, millis};
 
 impl Process {
-    /// Takes in what the answer to a request that was sent at `sent` says of its target's limit.
+    /// Records the limit in the answer of `target` to a request that was sent at `sent`.
     pub(crate) fn note_limit(&self, target: &Target, sent: Time, said: Advertisement) {
         if said == Advertisement::Invalid {
             ::log::debug!(target:% = target.id; "limit of a target can't be read");
@@ -33,17 +33,18 @@
         }
     }
 
-    /// Targets that name a limit.
+    /// Number of targets that advertise a limit.
     pub(crate) fn limited_targets(&self) -> usize {
         self.intake.lock().limited_count()
     }
 
-    /// Notes how many entries are alive, among which limits hold.
+    /// Sets the number of live entries, which the token buckets take into account.
     pub(crate) fn set_alive(&self, count: usize) {
         self.keeper.lock().set_alive(self.clock.now(), count);
     }
 
-    /// For how long a target is cold: by its lease, or since the cordon of its failure domain was lifted.
+    /// How long a target stays cold: by its lease, or since the cordon of its failure domain was
+    /// lifted. Zero where it is warm or unknown.
     fn cold_left(&self, id: &id::Target) -> Duration {
         let now = self.clock.now();
         let leases = self.leases.lock();
@@ -52,7 +53,7 @@
         leases.cold_remaining(now, id).max(settles)
     }
 
-    /// What a target may get while it is cold; `None` where its service sets no bound.
+    /// The limit of a target while it is cold; `None` where its service sets none.
     fn cold_terms(&self, id: &id::Target) -> Option<cold::Limit> {
         let service = self.leases.lock().get(id)?.service.clone();
         let warmup = self.table()?.service(&service)?.warmup?;
@@ -61,7 +62,7 @@
         Some(cold::Limit { per_s: warmup.per_s, excess, margin })
     }
 
-    /// What a target takes now.
+    /// The limits that apply to a target now.
     fn allowance(&self, target: &id::Target) -> Allowance {
         let named = self.intake.lock().limit(target);
         let cold = match self.cold_left(target) {
@@ -71,32 +72,33 @@
         Allowance { advertised: named, cold }
     }
 
-    /// Targets that are cold.
+    /// Number of targets that are cold.
     pub(crate) fn cold_targets(&self) -> usize {
         let ids: Vec<id::Target> = self.leases.lock().all().map(|t| t.id.clone()).collect();
         ids.iter().filter(|id| !self.cold_left(id).is_zero()).count()
     }
 
-    /// Takes in that a target is cold.
+    /// Applies an update of another entry about a cold target.
     pub(crate) fn hear_cold(&self, word: &cold::Update) {
         self.leases.lock().apply_cold_update(self.clock.now(), word);
     }
 
-    /// Grants a request to a target that takes only so much, or says when to ask again; only for the
-    /// entry that decides.
+    /// Takes a token for a request to a limited target; where there is none, returns the time after
+    /// which to ask again. Only the entry that decides for the target calls it.
     pub(crate) fn try_send(&self, target: &id::Target) -> Option<Duration> {
         let allowance = self.allowance(target);
         self.keeper.lock().try_send(self.clock.now(), target, &allowance)
     }
 
-    /// Counts a request that is sent to a target in any case; only for the entry that decides.
+    /// Takes a token for a request that is sent whether or not there is one. Only the entry that
+    /// decides for the target calls it.
     pub(crate) fn spend(&self, target: &id::Target) {
         let allowance = self.allowance(target);
         self.keeper.lock().spend(self.clock.now(), target, &allowance);
     }
 
-    /// What the entry that decides is asked before a request is sent to a target; `None` where that takes
-    /// all that comes.
+    /// The question for the entry that decides for a target, to be asked before a request is sent
+    /// there; `None` where the target is not limited.
     pub(crate) fn question(&self, target: &id::Target) -> Option<Question> {
         let now = self.clock.now();
         let Allowance { advertised: named, cold } = self.allowance(target);
@@ -113,22 +115,22 @@
         self.intake.lock().to_update(now, target).map(Question::Send)
     }
 
-    /// What others should hear of.
+    /// Takes the limit updates that are due to be sent to other entries.
     pub(crate) fn take_limits(&self) -> Vec<Update> {
         self.intake.lock().take_updates(self.clock.now())
     }
 
-    /// What an entry is told when its link opens.
+    /// All limits, for an entry whose link has just opened.
     pub(crate) fn all_limits(&self) -> Vec<Update> {
         self.intake.lock().all_updates(self.clock.now())
     }
 
-    /// Takes in words of another entry; returns those that were news.
+    /// Applies limit updates of another entry; returns those that were new.
     pub(crate) fn hear_limits(&self, words: Vec<Update>) -> Vec<Update> {
         self.intake.lock().apply(self.clock.now(), words)
     }
 
-    /// Forgets what targets said that are listed no more.
+    /// Drops the limits and token buckets of targets that are no longer listed.
     pub(super) fn keep_limits(&self, leases: &Leases) {
         let mut intake = self.intake.lock();
         intake.retain(|id| leases.get(id));
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state that all requests of a process share, in shards under locks of their own.
+//! The state that all requests of a process share. Each part has a lock of its own.
 
 mod cordon;
 mod holdings;
@@ -36,25 +36,26 @@
 
 pub(crate) use poison::Inspection;
 
-/// The part of the bound on retries per request that entries earn; the rest covers requests that
-/// are counted in another window than their retries.
+/// Share of the configured retry ratio that the entry's own successes earn. The rest leaves room
+/// for requests that are counted in another window than their retries.
 const RETRY_EARNED: f64 = 0.5;
 
-/// After how long an entry that has just started knows the others: links are open and lists of who is
-/// alive told.
+/// Time after its start by which an entry is taken to know the other entries: links are open and
+/// lists of live members were exchanged.
 pub(crate) const SETTLED: Duration = Duration::from_secs(2);
 
-/// How long a process counts as one that has just started.
+/// Time after the start in which a process holds requests that it cannot serve yet.
 const STARTING: Duration = Duration::from_secs(1);
 
-/// How long a request waits for what a starting entry is about to be told: less than it would take to
-/// come back after a refusal.
+/// Longest wait of a request for the initial state of a starting entry. It is shorter than a
+/// refusal and the caller's retry would take.
 const WARM_UP: Duration = Duration::from_millis(300);
 
-/// After how long without a request an entry counts as idle: callers keep addresses for seconds.
+/// Time without a request after which an entry is idle. Callers keep the addresses of entries for
+/// seconds.
 const IDLE: Duration = Duration::from_secs(3);
 
-/// State of one process.
+/// Shared state of one entry process.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) settings: Settings,
@@ -64,39 +65,39 @@
     seeds: RwLock<Vec<std::net::SocketAddr>>,
     table: RwLock<Option<Arc<Table>>>,
     lanes: RwLock<HashMap<id::Service, Arc<Lane>>>,
-    /// The entries that carry the traffic.
+    /// Active entries in the order in which they send to targets.
     order: Mutex<Order>,
     leases: Mutex<Leases>,
-    /// Failure domains that get nothing new.
+    /// Cordoned failure domains; their targets get no new requests.
     cordons: Mutex<Cordons>,
-    /// Tokens of copies that this entry had made, by the target that keeps them.
+    /// Tokens of the copies that this entry had engines make, by the target that holds them.
     copies: Mutex<HashMap<id::Target, u64>>,
-    /// Requests that any entry has refused lately.
+    /// Requests that any entry refused recently.
     refused: Mutex<Ledger>,
-    /// Requests under which targets ended.
+    /// Requests that targets crashed on.
     poison: Poison,
-    /// What targets say they take.
+    /// Request rates that targets advertise.
     intake: Mutex<Limits>,
-    /// What may still be sent to those, where this entry decides.
+    /// Token buckets of limited targets, used for the targets that this entry decides for.
     keeper: Mutex<Buckets>,
-    /// What other entries hold, by entry.
+    /// Memory that other entries use at targets, by entry.
     others: Mutex<HashMap<id::Host, Vec<Held>>>,
-    /// Changes whenever targets do, so that running answers look whether theirs leaves.
+    /// Bumped whenever targets change, so that running answers check whether their target drains.
     targets: watch::Sender<u64>,
-    /// Wakes the heartbeats when a generation was sent.
+    /// Makes the next heartbeat go out early.
     sent: Notify,
     registry: AtomicBool,
-    /// How often the registry is known to have come back from a copy.
+    /// Number of restores of the registry from an older copy that are known here.
     era: AtomicU64,
-    /// Whether its latest watch of targets succeeded.
+    /// Whether the latest watch of targets succeeded.
     watching: AtomicBool,
-    /// Since when it leaves.
+    /// When the process began to leave.
     leaving: OnceLock<Time>,
     listed: AtomicBool,
     open: AtomicUsize,
-    /// The most entries that were seen to carry the traffic.
+    /// Highest number of active entries seen so far.
     actives: AtomicUsize,
-    /// When the latest request came.
+    /// When the latest request arrived.
     begun: Mutex<Time>,
 }
 
@@ -132,7 +133,7 @@
         }))
     }
 
-    /// Takes over settings that may change; returns whether any did.
+    /// Applies the settings that may change at run time; returns whether any of them changed.
     pub(crate) fn reload(&self, settings: Settings) -> bool {
         let changed =
             *self.bounds.read() != settings.bounds || *self.seeds.read() != settings.seeds;
@@ -149,20 +150,22 @@
         self.seeds.read().clone()
     }
 
-    /// The text in force.
+    /// The configuration text in force.
     pub(crate) fn table(&self) -> Option<Arc<Table>> {
         self.table.read().clone()
     }
 
-    /// The revision of the text in force; 0 before the first.
+    /// The revision of the text in force; 0 before the first text.
     pub(crate) fn revision(&self) -> u64 {
         self.table.read().as_ref().map_or(0, |table| table.text().revision)
     }
 
-    /// Puts a text in force if it is newer than the one that is.
+    /// Puts a text in force if it is the first one or its revision is higher than that of the
+    /// current one; returns whether it did.
     ///
-    /// Readings overtake each other: of the registry, of peers, of a registry that serves stale
-    /// ones. The highest revision wins and none goes back, so their order doesn't matter.
+    /// Texts arrive out of order: from the registry, from peers and from a registry that serves
+    /// stale data. The highest revision wins and a lower one is never applied, so their order does
+    /// not matter.
     pub(crate) fn adopt(&self, text: Text, source: &str) -> bool {
         let revision = text.revision;
         let mut table = self.table.write();
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Takes in which entries carry the traffic.
+    /// Sets the order of the active entries and passes it to the lanes.
     pub(crate) fn set_order(&self, order: Order) {
         let mut known = self.order.lock();
         if *known == order {
@@ -202,8 +205,8 @@
         self.lanes.read().values().for_each(|lane| lane.set_order(order.clone()));
     }
 
-    /// Notes how many entries carry the traffic, among which the bound on retries is divided; it is never
-    /// divided among fewer again.
+    /// Sets the number of active entries, by which the limit on retries is divided. The divisor is
+    /// the highest count seen and never falls.
     pub(crate) fn set_actives(&self, count: usize) {
         if self.actives.fetch_max(count, Ordering::AcqRel) < count {
             let terms = self.retries();
@@ -219,8 +222,8 @@
 
     fn terms(&self) -> gate::Settings {
         let retries = self.retries();
-        // Entries tell each other several times a second what they hold, so none has to keep to a
-        // share of an old report.
+        // Entries report to each other several times a second what they hold, so no entry has to
+        // keep to its share of an old report.
         gate::Settings {
             share: false,
             charge_overnight: true,
@@ -236,28 +239,30 @@
         self.lanes.read().get(service).cloned()
     }
 
-    /// Notes that a generation was sent, which the other entries should learn of soon.
+    /// Requests an early heartbeat, so that other entries learn of a change without waiting for the
+    /// next regular one.
     pub(crate) fn note_sent(&self) {
         self.sent.notify_one();
     }
 
-    /// Waits until a generation was sent.
+    /// Waits until an early heartbeat is requested.
     pub(crate) async fn sent(&self) {
         self.sent.notified().await;
     }
 
-    /// Notes that a request was refused, here or by another entry, which has been wanted for `age`.
+    /// Records that this or another entry refused a request which was first submitted `age` ago.
     pub(crate) fn note_refused(&self, print: Fingerprint, age: Duration) {
         let now = self.clock.now();
         self.refused.lock().record(now, print, now - age);
     }
 
-    /// Since when a request has been wanted that comes back after a refusal.
+    /// When a request that is submitted again after a refusal was submitted first; `None` where no
+    /// refusal is known.
     pub(crate) fn wanted_since(&self, print: Fingerprint) -> Option<Time> {
         self.refused.lock().since(self.clock.now(), print)
     }
 
-    /// Notes how the latest call of the registry went; logs each loss and return.
+    /// Records whether the latest registry call succeeded; logs each loss and each recovery.
     pub(crate) fn set_registry(&self, works: bool) {
         if self.registry.swap(works, Ordering::AcqRel) != works {
             if works {
@@ -272,8 +277,8 @@
         self.registry.load(Ordering::Acquire)
     }
 
-    /// Notes how often the registry says, or peers know, that it came back from a copy; returns whether
-    /// that is news.
+    /// Records the registry's era, as the registry or peers report it: the number of times it was
+    /// restored from an older copy. Returns whether the era is new here.
     pub(crate) fn note_era(&self, era: u64, source: &str) -> bool {
         let before = self.era.fetch_max(era, Ordering::AcqRel);
         if era > before {
@@ -286,18 +291,18 @@
         era > before
     }
 
-    /// How often the registry is known to have come back from a copy.
+    /// The highest registry era known, which is the number of its restores from an older copy.
     pub(crate) fn era(&self) -> u64 {
         self.era.load(Ordering::Acquire)
     }
 
-    /// Notes that something of an earlier era was not taken.
+    /// Counts and logs a list of targets that was refused because it is of an earlier era.
     pub(crate) fn refuse_older(&self, known: Position, told: Position, source: &str) {
         self.metrics.older();
         ::log::info!(known:% = known, told:% = told, source = source; "targets of an earlier era refused");
     }
 
-    /// Notes whether this entry hears of targets from the registry.
+    /// Records whether this entry itself watches targets at the registry.
     pub(crate) fn set_watching(&self, watches: bool) {
         self.watching.store(watches, Ordering::Release);
     }
@@ -306,7 +311,7 @@
         self.watching.load(Ordering::Acquire)
     }
 
-    /// Takes no new callers from now on.
+    /// Starts to leave: from now on new callers are sent to other entries.
     pub(crate) fn leave(&self) {
         self.leaving.get_or_init(|| self.clock.now());
     }
@@ -315,23 +320,26 @@
         self.leaving.get().is_some()
     }
 
-    /// For how long it has been leaving, and how long it may still run.
+    /// How long the process has been leaving and how long it may still run; `None` where it does
+    /// not leave.
     pub(crate) fn leaving(&self) -> Option<(Duration, Duration)> {
         let since = self.clock.now().since(*self.leaving.get()?);
         Some((since, self.bounds().grace().saturating_sub(since)))
     }
 
-    /// Whether callers are well served here: all that decides is known, and it stays.
+    /// Whether this entry is ready for callers: it has all state that decisions need and is not
+    /// leaving.
     pub(crate) fn is_ready(&self) -> bool {
         self.is_informed() && !self.is_leaving()
     }
 
-    /// Whether a text, targets and cordons are known.
+    /// Whether a text, a list of targets and the cordons are known.
     fn is_informed(&self) -> bool {
         self.revision() > 0 && self.is_listed() && self.knows_cordons()
     }
 
-    /// Holds a request while this process has just started and is about to be told what it needs.
+    /// Holds a request until the initial state is there, for a limited time and only right after
+    /// the start.
     pub(crate) async fn warm_up(&self) {
         let age = self.clock.now().since(Time::ZERO);
         if self.is_informed() || age >= STARTING {
@@ -339,14 +347,14 @@
         }
         let mut changes = self.watch_targets();
         let informed = async {
-            // Its sender lives as long as the process.
+            // The sender lives as long as the process, so `changed` returns no error here.
             while !self.is_informed() && changes.changed().await.is_ok() {}
         };
-        // Whoever is still not informed then refuses.
+        // After the timeout the request is refused by the later checks.
         let _ = timeout(WARM_UP, informed).await;
     }
 
-    /// Whether it had no request for [`IDLE`].
+    /// Whether there has been no request for [`IDLE_AFTER`].
     pub(crate) fn is_idle(&self) -> bool {
         self.open_requests() == 0 && self.clock.now().since(*self.begun.lock()) >= IDLE
     }
@@ -355,7 +363,7 @@
         self.open.load(Ordering::Acquire)
     }
 
-    /// Counts a request in progress until the guard is dropped.
+    /// Counts a request as open until the returned guard is dropped.
     pub(crate) fn begin(self: &Arc<Self>) -> Open {
         self.open.fetch_add(1, Ordering::AcqRel);
         *self.begun.lock() = self.clock.now();
@@ -363,7 +371,7 @@
     }
 }
 
-/// A request in progress; a drain waits for it.
+/// Counts as one open request until it is dropped; a leaving process waits for open requests.
 #[derive(Debug)]
 pub(crate) struct Open {
     process: Arc<Process>,
@@ -375,7 +383,7 @@
     }
 }
 
-/// Milliseconds for log lines.
+/// Whole milliseconds for log lines and messages; saturates at `u64::MAX`.
 pub(crate) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/process/state/poison.rs
+++ b/crates/gateway/src/process/state/poison.rs
@@ -1,4 +1,4 @@
-//! Requests under which targets ended, as this process knows them.
+//! Requests that targets crashed on, as this process knows them.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -15,27 +15,28 @@
 
 use crate::process::state::Process;
 
-/// Records that an entry is sent when its link opens: some 100 KB.
+/// Most records sent to an entry whose link has just opened, about 100 KB.
 const FIRST: usize = 1_000;
 
-/// For how long a target at which a run broke off may still turn out to have ended: until its lease has
-/// run out or its next start is listed.
+/// How long a crash of a target that accepts connections may still be confirmed: by then its lease
+/// has run out or its next start is listed.
 const DOUBTED: Duration = Duration::from_secs(10);
 
-/// Runs that broke off at targets that took a connection right after, at most so many.
+/// Most unconfirmed crashes kept; the oldest is dropped first.
 const DOUBTS: usize = 1_024;
 
-/// A run that broke off at a target that seems to live.
+/// A run that broke off at a target which accepted a connection right after. The target may have
+/// crashed and restarted, or another one may answer at its address.
 #[derive(Debug)]
 struct Doubt {
     at: Time,
     print: Fingerprint,
     target: Target,
-    /// For how long the run had been under way.
+    /// How long the run had been under way.
     lasted: Duration,
 }
 
-/// What is known, and which runs that broke off are still looked into.
+/// The ledger of crashes, and the runs whose outcome is not known yet.
 #[derive(Debug, Default)]
 pub(super) struct Poison {
     ledger: Mutex<Ledger>,
@@ -44,7 +45,8 @@
     settled: Notify,
 }
 
-/// A run that broke off and is looked into; a request that may be held back for it waits.
+/// Marks a run that broke off and whose target is being checked. Requests that may be suspect
+/// because of it wait until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Inspection {
     process: Arc<Process>,
@@ -74,8 +76,8 @@
 }
 
 impl Process {
-    /// Notes that a target ended at `at` while it ran a request, which had been under way there for
-    /// `lasted`; returns how many have.
+    /// Records that a target crashed at `at` on a request that had run there for `run_time`;
+    /// returns the number of targets that crashed on the request.
     pub(crate) fn note_end(
         &self,
         at: Time,
@@ -91,7 +93,7 @@
         ends
     }
 
-    /// Notes that a run broke off at `at` at a target that took a connection right after.
+    /// Records that a run broke off at `at` at a target that accepted a connection right after.
     pub(crate) fn doubt(&self, at: Time, print: Fingerprint, target: &Target, lasted: Duration) {
         let mut doubts = self.poison.doubts.lock();
         if doubts.len() >= DOUBTS {
@@ -101,14 +103,16 @@
         doubts.push_back(Doubt { at, print, target, lasted });
     }
 
-    /// Looks which of those targets have ended after all.
+    /// Records the unconfirmed crashes of targets whose leases show that they ended.
     ///
-    /// Guards against a target that is replaced at its address before it is asked whether it lives.
+    /// This covers a target that is replaced at its address before the check reaches it: the check
+    /// then finds a live target.
     pub(super) fn settle_doubts(&self, leases: &Leases) {
         self.settle_where(|target| leases.has_ended(target));
     }
 
-    /// Notes that another target answers at the address of one, which so has ended.
+    /// Records that another target answers at the address of target `id`, which therefore has
+    /// ended.
     pub(crate) fn target_replaced(&self, id: &id::Target) {
         self.target_leaves(id);
         self.settle_where(|target| target.id == *id);
@@ -129,28 +133,28 @@
         }
     }
 
-    /// Notes that a request was answered whole.
+    /// Records that a request was answered in full.
     pub(crate) fn note_whole(&self, print: Fingerprint) {
         self.poison.ledger.lock().record_completion(self.clock.now(), print);
     }
 
-    /// How many targets have ended under a request.
+    /// Number of targets that crashed on a request.
     pub(crate) fn ends(&self, print: Fingerprint) -> usize {
         self.poison.ledger.lock().crashes(print)
     }
 
-    /// Requests that are held back.
+    /// Number of suspect requests, which are held back.
     pub(crate) fn held_back(&self) -> usize {
         self.poison.ledger.lock().suspects()
     }
 
-    /// Whether a request is sent, tried or refused.
+    /// Decides whether a request is sent, sent as a trial or refused.
     pub(crate) fn verdict(&self, print: Fingerprint) -> Decision {
         self.poison.ledger.lock().decide(self.clock.now(), print)
     }
 
-    /// Waits until it is known what became of the targets at which runs of a request broke off, where
-    /// it would be held back if they had ended.
+    /// Waits, at most `within`, until the targets of a request's broken runs are checked, if the
+    /// request would be suspect once all of them had crashed.
     pub(crate) async fn settle(&self, print: Fingerprint, within: Duration) {
         let settled = async {
             loop {
@@ -162,18 +166,18 @@
                 notified.await;
             }
         };
-        // What is not known by then is noted when it is.
+        // A check that ends after the timeout still records its result.
         let _ = timeout(within, settled).await;
     }
 
-    /// Grants a trial where one is due; only for the entry that keeps the request's record.
+    /// Grants a trial if one is due. Only the entry that owns the request's record calls it.
     pub(crate) fn try_trial(&self, print: Fingerprint) -> Decision {
         let verdict = self.poison.ledger.lock().try_trial(self.clock.now(), print);
         self.note_sent();
         verdict
     }
 
-    /// Takes in records of another entry; returns those that were news.
+    /// Applies records of another entry; returns those that were new.
     pub(crate) fn hear_poison(&self, records: Vec<Record>) -> Vec<Record> {
         let now = self.clock.now();
         let mut ledger = self.poison.ledger.lock();
@@ -181,24 +185,24 @@
         ledger.records(now, news)
     }
 
-    /// Tells the records of these again.
+    /// Queues records for all other entries again.
     pub(crate) fn pass_on_poison(&self, records: &[Record]) {
         let prints = records.iter().map(|record| record.fingerprint).collect();
         self.poison.ledger.lock().forward(prints);
         self.note_sent();
     }
 
-    /// What others should hear of.
+    /// Takes the records that are due to be sent to other entries.
     pub(crate) fn take_poison(&self) -> Vec<Record> {
         self.poison.ledger.lock().take_updates(self.clock.now())
     }
 
-    /// What an entry is told when its link opens.
+    /// The records for an entry whose link has just opened.
     pub(crate) fn all_poison(&self) -> Vec<Record> {
         self.poison.ledger.lock().snapshot(self.clock.now(), FIRST)
     }
 
-    /// What is known of one request.
+    /// The record of one request, if there is one.
     pub(crate) fn poison_record(&self, print: Fingerprint) -> Option<Record> {
         self.poison.ledger.lock().records(self.clock.now(), [print]).pop()
     }
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -1,4 +1,4 @@
-//! Targets as they are listed, change and leave.
+//! The list of targets: how it is read, changed and passed to the lanes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
         self.expire_cordons();
     }
 
-    /// How requests ended at targets, as far as other entries should hear of it.
+    /// Takes the outcomes of requests at targets that are due to be sent to other entries.
     pub(crate) fn take_endings(&self) -> Vec<Ending> {
         let lanes = self.lanes.read();
         let of = |(service, lane): (&id::Service, &Arc<Lane>)| {
@@ -37,7 +37,7 @@
         lanes.iter().flat_map(of).collect()
     }
 
-    /// Takes in how requests of another entry ended.
+    /// Applies the outcomes that another entry observed.
     pub(crate) fn hear_endings(&self, from: &Observer, endings: Vec<Ending>) {
         let lanes = self.lanes.read();
         for ending in endings {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Hands the targets known now to the lanes and wakes running answers.
+    /// Passes the current targets to the lanes and wakes running answers.
     pub(super) fn refresh(&self) {
         let lanes = self.lanes.read();
         let mut leases = self.leases.lock();
@@ -69,7 +69,8 @@
         self.targets.send_modify(|count| *count += 1);
     }
 
-    /// Takes in a list of all targets.
+    /// Applies a full list of targets; returns whether it changed anything. A list of an earlier
+    /// era is refused.
     pub(crate) fn list_targets(&self, at: Position, targets: Vec<Target>, source: &str) -> bool {
         let now = self.clock.now();
         self.listed.store(true, Ordering::Release);
@@ -91,7 +92,7 @@
         changed
     }
 
-    /// Takes in single changes of targets; returns those that were news.
+    /// Applies changes of targets; returns those that were new.
     pub(crate) fn change_targets(&self, at: Position, changes: Vec<Change>) -> Vec<Change> {
         let now = self.clock.now();
         let news = self.leases.lock().apply_changes(now, at, changes);
@@ -105,7 +106,8 @@
         news
     }
 
-    /// Notes that a target itself says that it leaves; returns what is to be told to others.
+    /// Marks a target as draining because it says so itself; returns the change for other entries,
+    /// `None` where it is not new.
     pub(crate) fn target_leaves(&self, target: &id::Target) -> Option<Change> {
         let left = {
             let mut leases = self.leases.lock();
@@ -128,7 +130,7 @@
         self.leases.lock().is_ready(id)
     }
 
-    /// The other targets of a target's failure domain.
+    /// The other targets in a target's failure domain.
     pub(crate) fn neighbours(&self, id: &id::Target) -> BTreeSet<id::Target> {
         let leases = self.leases.lock();
         let Some(own) = leases.get(id) else { return BTreeSet::new() };
@@ -145,9 +147,10 @@
         self.leases.lock().position()
     }
 
-    /// Where its list of targets stands; `None` before the first.
+    /// The position of the list of targets; `None` before the first list.
     ///
-    /// A list without any target leaves the position at 0, so that alone doesn't tell the two apart.
+    /// An empty list leaves the position at 0, so the position alone does not tell whether there
+    /// was a list.
     pub(crate) fn listed_position(&self) -> Option<Position> {
         self.is_listed().then(|| self.targets_position())
     }
@@ -156,7 +159,7 @@
         self.listed.load(Ordering::Acquire)
     }
 
-    /// Wakes whenever targets change.
+    /// Returns a receiver that is notified whenever targets change.
     pub(crate) fn watch_targets(&self) -> watch::Receiver<u64> {
         self.targets.subscribe()
     }
--- a/crates/gateway/src/version/follow.rs
+++ b/crates/gateway/src/version/follow.rs
@@ -1,10 +1,10 @@
-//! Following the registry: one list, then changes as they happen, and again from the list wherever
-//! that breaks. An entry that has just started reads only what no peer tells it
+//! Reads the registry by list and watch: one list, then changes as they happen, and the list again
+//! wherever watching breaks. An entry that has just started reads only what no peer sends it
 //! ([`bootstrap`](fireflyhoist_policy::bootstrap)).
 //!
-//! Texts and cordons are watched together by every entry that carries traffic, since they change rarely
-//! and a watch that waits costs nothing; those that stand by are told by two that do. Targets are watched by a few
-//! entries for all, since they change all the time.
+//! Every active entry watches texts and cordons, which are read together: they change rarely and a
+//! watch that waits costs nothing. Standby entries receive them from at least two that watch.
+//! Targets change all the time, so only a few entries watch them for all.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,68 +28,69 @@
 use crate::process::state::{Process, SETTLED, millis};
 use crate::version::history::History;
 
-/// Within which time the reply to a list call begins: the registry answers in milliseconds, a slow
-/// one within some hundreds.
+/// Longest time until the reply to a list call begins. The registry answers in milliseconds, a slow
+/// one within some hundred milliseconds.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The longest pause within a reply. Lost packets are sent again within some hundred milliseconds;
-/// a connection that fell silent shows as soon as on a link between entries.
+/// Longest pause within a reply. Lost packets are sent again within some hundred milliseconds; a
+/// silent connection is noticed as fast as on a link between entries.
 const REPLY_PAUSE: Duration = Duration::from_millis(900);
 
-/// How long a watch waits for changes of the text. A lost reply is noticed after this and
+/// How long a watch of texts waits for a change. A lost reply is noticed after this plus
 /// [`WATCH_SLACK`], within the three seconds in which a text must be in force.
 const WATCH_WAIT: Duration = Duration::from_millis(1_500);
 
-/// The same where peers would tell of what is missed: fifteen in sixteen calls less.
+/// The wait where peers would send what this entry misses; saves fifteen in sixteen calls.
 const WATCH_COVERED: Duration = Duration::from_secs(25);
 
-/// How long a watch of targets waits. A registry that hangs shows by this and [`WATCH_SLACK`], in
-/// less time than engines run on after a notice, so that they are asked themselves from then on. On
-/// a calm day of the two smaller deployments it costs some 20 calls.
+/// How long a watch of targets waits. A registry that hangs is noticed after this plus
+/// [`WATCH_SLACK`], which is less than the time engines run on after a drain notice; from then on
+/// engines are polled directly. Without changes it costs some 20 calls a day on the two smaller
+/// deployments.
 const WATCH_TARGETS: Duration = Duration::from_secs(1);
 
-/// How much later than after its wait the reply to a watch may begin.
+/// Time after the wait of a watch within which its reply must begin.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
-/// The least time between two watches of targets. Several change within some hundred milliseconds
-/// where engines are taken back together, each watch ends with the first, and every call is paid
-/// for. Renewals alone end none.
+/// Least time between two watches of targets. Where engines are taken back together, several
+/// targets change within some hundred milliseconds, the first change ends a watch, and every call
+/// is paid for. Lease renewals alone end no watch.
 const TARGETS_PAUSE: Duration = Duration::from_millis(80);
 
-/// How often an entry that doesn't watch looks whether it should.
+/// How often an entry that does not watch checks whether it should.
 const RECHECK: Duration = Duration::from_millis(300);
 
-/// The same for the second watcher, which is there for the case that the first one fails.
+/// The least time for the second watcher, which is there in case the first one fails.
 const SECOND_PAUSE: Duration = Duration::from_millis(400);
 
-/// The same for an entry that has no link and no callers: many that are cut off from the others would
-/// call ten times a second each, and nobody be served by it.
+/// The least time for an entry without links and callers. Many entries that are cut off from the
+/// others would otherwise make ten calls a second each without serving anybody.
 const IDLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// How often an entry that has just started looks whether to read.
+/// How often an entry that has just started checks whether to read the registry.
 const BEGIN_POLL: Duration = Duration::from_millis(50);
 
-/// The largest reply that is read.
+/// Largest reply that is read, in bytes.
 const MAX_REPLY: usize = 8 << 20;
 
-/// Why a call of the registry failed.
+/// Why a registry call failed.
 #[derive(Debug, Display, Error)]
 enum CallError {
-    /// No whole reply came.
+    /// No complete reply arrived.
     #[display("{_0}")]
     Exchange(#[error(not(source))] Failure),
-    /// It answered with a failure.
+    /// The registry answered with an error status.
     #[display("status {_0}; see the registry's own log")]
     Status(#[error(not(source))] StatusCode),
-    /// The reply can't be read.
+    /// The reply cannot be decoded.
     #[display("{_0}")]
     Decode(#[error(not(source))] DecodeError),
-    /// The changes asked for are no longer kept.
+    /// The registry no longer keeps the requested changes.
     #[display("changes no longer kept; the list is read again")]
     Forgotten,
 }
 
-/// Begins to follow.
+/// Starts one watcher for texts with cordons and one for targets.
 pub(crate) fn spawn<P: Platform>(process: &Arc<Process>, fleet: &Arc<Fleet>) {
     let now = process.clock.now();
     let bootstrap = match fleet.is_seed() || process.seeds().is_empty() {
@@ -112,33 +113,33 @@
     }
 }
 
-/// A whole reply, and the era that it is of.
+/// A complete reply and its era.
 struct Reply {
     era: u64,
     body: Bytes,
 }
 
-/// What one reading held beside texts.
+/// Changes of one reply; its texts are applied already.
 #[derive(Default)]
 struct Read {
     targets: Vec<Change>,
     cordons: Vec<cordon::Change>,
-    /// Whether a text came into force.
+    /// Whether a text was put in force.
     adopted: bool,
 }
 
 struct Follower {
     history: History,
-    /// When it reads for the first time.
+    /// Decides when to read for the first time.
     bootstrap: Bootstrap,
-    /// When its part in the fleet is known.
+    /// When this entry's role among the entries is known.
     settled: Time,
     process: Arc<Process>,
     fleet: Arc<Fleet>,
     address: SocketAddr,
     what: What,
     failures: usize,
-    /// When its latest call began.
+    /// When the latest call began.
     asked: Time,
 }
 
@@ -158,7 +159,8 @@
     async fn begin(&self) {
         loop {
             let now = self.process.clock.now();
-            // What peers have told is not read again before it is known who watches for all.
+            // What peers have sent is not read again before it is known which entries watch for
+            // all.
             let due = match self.is_known() {
                 true => now >= self.settled,
                 false => self.bootstrap.is_due(now, self.peers()),
@@ -184,7 +186,10 @@
         }
     }
 
-    /// Waits while others watch and tell this entry of what changes.
+    /// Waits while other entries watch and send this entry the changes.
+    ///
+    /// Returns after a random delay once no entry watches for it, or at once while the initial
+    /// state is missing.
     async fn stand_by(&self) {
         let mut untold = None;
         loop {
@@ -200,17 +205,19 @@
             if !self.is_known() {
                 return;
             }
-            // Bounded, since a change between the question and the wait wakes nobody.
+            // The wait is bounded: a change between the check above and the wait wakes nobody.
             let _ = timeout(RECHECK, self.fleet.changed()).await;
         }
     }
 
-    /// Follows changes until they can be followed no more.
+    /// Applies changes until watching breaks or is left to other entries.
     async fn watch<P: Platform>(&mut self, mut at: Position) {
         loop {
-            // A revision of an earlier era may have been given out again: changes since it say nothing.
+            // After a restore the registry may use revisions of an earlier era again, so changes
+            // since such a revision mean nothing.
             if self.is_told() || self.process.era() != at.era() {
-                // What happens meanwhile may be more than the registry keeps.
+                // Changes until the next watch may be more than the registry keeps, so it starts
+                // with a list.
                 return;
             }
             match self.wait::<P>(at.revision()).await {
@@ -236,10 +243,10 @@
         if self.fleet.watcher() == Some(0) { TARGETS_PAUSE } else { SECOND_PAUSE }
     }
 
-    /// Whether others watch and would tell this entry what it misses.
+    /// Whether other entries watch and would send this entry what it misses.
     ///
-    /// Each text ends the watch of every entry that has one: with 80 entries, of which 18 carry the
-    /// traffic, most calls of a day were these.
+    /// Each new text ends the watch of every entry that has one. With 80 entries, of which 18 are
+    /// active, most calls of a day were watches of texts by standby entries.
     fn is_told(&self) -> bool {
         if !self.is_known() {
             return false;
@@ -276,7 +283,7 @@
         }
     }
 
-    /// Reads everything and returns where changes follow from.
+    /// Reads the full list and returns the position from which to watch.
     async fn list<P: Platform>(&mut self) -> Result<Position, CallError> {
         let mut after: Option<SmolStr> = None;
         let mut first = None;
@@ -285,7 +292,8 @@
             let path = P::list(self.what, after.as_deref());
             let reply = self.call::<P>(path, LIST_TIMEOUT).await?;
             let page = P::page(self.what, &reply.body).map_err(CallError::Decode)?;
-            // Pages are no snapshot: what changed between them is in the changes after the first.
+            // Pages are no snapshot: what changes between them is in the changes after the first
+            // page.
             let position = self.history.position(reply.era, page.revision);
             if first.is_some_and(|first: Position| position.has_later_era_than(first)) {
                 return Err(CallError::Forgotten);
@@ -303,15 +311,16 @@
         Ok(position)
     }
 
-    /// Waits for changes; returns them with the era of the reply.
+    /// Makes one watch call; returns the changes with the era of the reply.
     async fn wait<P: Platform>(&mut self, revision: u64) -> Result<(u64, Page), CallError> {
         let wait = match self.what {
-            // A registry that was away may have come back from a copy and given the revision out again;
-            // waited for, its reply would tell only at its end.
+            // A registry that was away may have been restored from an older copy and have used the
+            // revision again. A watch that waits would show that only at its end.
             _ if self.failures > 0 => Duration::ZERO,
             What::Targets => WATCH_TARGETS,
-            // The failure: the connections of all entries to the registry fall silent together, each
-            // relies on the others, and a new text is in force nowhere for half a minute.
+            // Short waits are needed where few entries watch. Otherwise, if the connections of all
+            // entries to the registry fall silent together, each entry relies on the others and a
+            // new text is in force nowhere for half a minute.
             What::Text if self.fleet.is_covered() && self.fleet.watcher().is_none() => {
                 WATCH_COVERED
             }
@@ -367,7 +376,8 @@
                 self.process.list_targets(at, put.collect(), "registry")
             }
         };
-        // What a list changes is told by the next heartbeats: those that miss it are told all.
+        // The next heartbeats announce what a list changed; entries that lag behind are sent the
+        // full state.
         if changed {
             self.fleet.beat();
         }
@@ -386,7 +396,7 @@
         }
     }
 
-    /// Puts texts in force and returns all else.
+    /// Puts texts in force and returns all other changes.
     fn sort(&self, items: Vec<Result<Item, DecodeError>>) -> Read {
         let mut read = Read::default();
         for item in items {
--- a/crates/gateway/src/version/history.rs
+++ b/crates/gateway/src/version/history.rs
@@ -1,4 +1,4 @@
-//! Where the registry's replies stand in its history.
+//! Tracks the era and the revision of the registry's replies.
 
 use std::sync::Arc;
 
@@ -6,13 +6,13 @@
 
 use crate::process::state::Process;
 
-/// The history of the registry as one follower reads it.
+/// Era and revision of the registry as one watcher has seen them.
 #[derive(Debug)]
 pub(crate) struct History {
     process: Arc<Process>,
-    /// Where the latest reply stood.
+    /// The position of the latest reply.
     seen: Position,
-    /// An era that the registry went back to, which so says nothing any more.
+    /// The latest lower era that the registry reported, so that it is logged once.
     fallen: Option<u64>,
 }
 
@@ -21,10 +21,11 @@
         Self { process: Arc::clone(process), seen: Position::default(), fallen: None }
     }
 
-    /// The era of a reply to a call that was made when `known` was.
+    /// The era of a reply to a call that was made when the era `known` was known.
     ///
-    /// A registry that says nothing, or less than was known before it was asked, can't be gone by: its
-    /// replies count as of the era that is known, which its revisions raise where they go back.
+    /// Where the registry reports no era, or one below `known`, its report cannot be relied on. The
+    /// reply then counts as of the known era, and [`Self::resolve_position`] raises the era
+    /// whenever revisions go back.
     pub(crate) fn era(&mut self, known: u64, said: Option<u64>) -> u64 {
         match said {
             Some(era) if era >= known => {
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Where a reply stands; a revision below that of the reply before is of a later era, whatever the
-    /// registry says.
+    /// The position of a reply. A revision below that of the previous reply means a later era,
+    /// whatever the registry reports.
     pub(crate) fn position(&mut self, era: u64, revision: u64) -> Position {
         let mut position = Position::new(era, revision);
         if position.era() == self.seen.era() && revision < self.seen.revision() {
--- a/crates/gateway/src/version/mod.rs
+++ b/crates/gateway/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version: reading texts and targets from the registry.
+//! Versioned data of the registry, which is texts and targets: how they are read and encoded.
 
 pub(crate) mod follow;
 pub(crate) mod history;
--- a/crates/gateway/src/version/report.rs
+++ b/crates/gateway/src/version/report.rs
@@ -1,12 +1,10 @@
-//! Asking engines themselves whether they leave, while nobody hears it from the registry.
+//! Polls engines for whether they drain while the registry cannot be read.
 //!
-//! **Failure:** engines are taken back while the registry is away. Their notice lies nowhere that can
-//! be read, so every answer on them is cut two seconds later: on days of the users' deployments with
-//! a registry that is away for eight seconds that was a seventh of all long answers every 3.3 s.
-//! **Guard:** an engine knows that it leaves. It is asked for as long as neither this entry nor any
-//! that it has a link to hears of targets, only where answers of this entry run, and only where
-//! other engines have room for them.
-//! `docs/PLATFORM.md` has what it costs.
+//! Engines may be taken back while the registry is away. Their notice can then be read nowhere, and
+//! every answer on them is cut two seconds later; with a registry that is away for eight seconds, a
+//! seventh of all long answers were cut every 3.3 s. An engine itself knows that it drains. It is
+//! polled only while neither this entry nor any entry linked to it watches targets, only where
+//! answers of this entry run, and only where other engines have room for these answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,17 +19,17 @@
 use crate::process::fleet::Fleet;
 use crate::process::state::Process;
 
-/// Time between two questions to one engine: a quarter of the shortest notice in use, of which an
-/// answer needs 0.2 s to leave.
+/// Time between two polls of an engine: a quarter of the shortest notice in use, of which an answer
+/// needs 0.2 s to move.
 const PAUSE: Duration = Duration::from_millis(350);
 
-/// How long an engine may take to answer: it needs no place among its requests for it.
+/// Timeout of a report call. An engine answers it without a place among its requests.
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The largest report that is read; one with a hundred running requests takes some 5 KB.
+/// Largest report that is read, in bytes; one with a hundred running requests takes some 5 KB.
 const MAX_REPLY: usize = 256 << 10;
 
-/// Begins to ask whenever it is needed.
+/// Starts the task that polls engines while no entry watches targets.
 pub(crate) fn spawn<P: Platform>(process: &Arc<Process>, fleet: &Arc<Fleet>) {
     let (process, fleet) = (Arc::clone(process), Arc::clone(fleet));
     ntex::rt::spawn(async move {
@@ -45,7 +43,7 @@
     .detach();
 }
 
-/// Asks every engine on which answers of this entry run.
+/// Polls every engine on which answers of this entry run and whose answers have room elsewhere.
 fn ask_all<P: Platform>(process: &Arc<Process>, fleet: &Arc<Fleet>) {
     let held = process.held().into_iter().filter(|held| held.streams > 0);
     let ready = held.filter(|held| process.is_target_ready(&held.target));
--- a/crates/gateway/src/version/source.rs
+++ b/crates/gateway/src/version/source.rs
@@ -1,13 +1,13 @@
-//! Texts as lines, in which form entries hand them to each other.
+//! Encodes texts as lines of JSON, the form in which entries send them to each other.
 //!
-//! One line a service, workspace and route: sections are cut between lines, so that a change of one
-//! route moves the sections around its line and no others. See `fireflyhoist_text::section`.
+//! There is one line a service, workspace and route. Sections are cut between lines, so a change of
+//! one route moves only the sections around its line. See `fireflyhoist_text::section`.
 
 use derive_more::{Display, Error};
 use fireflyhoist_policy::route::{Bounds, Route, Service, Text, Workspace};
 use serde::{Deserialize, Serialize};
 
-/// One line of a text, which is written from borrowed parts and read into owned ones.
+/// One line of a text: encoded from borrowed parts, decoded into owned ones.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Line<S, W, R> {
@@ -23,18 +23,18 @@
 
 type Read = Line<Service, Workspace, Route>;
 
-/// Lines that are no text.
+/// Why lines are not a valid text.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub(crate) enum SourceError {
-    /// A line can't be read.
+    /// A line cannot be decoded.
     #[display("line {number} is unreadable ({reason}); run the same release on every entry")]
     Line { number: usize, reason: String },
-    /// It does not begin with the head.
+    /// The first line is not the head, or another line is.
     #[display("no head in the first line; run the same release on every entry")]
     Headless,
 }
 
-/// Writes a text; equal texts give equal bytes on every entry.
+/// Encodes a text; equal texts give equal bytes on every entry.
 pub(crate) fn write(text: &Text) -> String {
     let head = Line::Head { revision: text.revision, bounds: text.bounds };
     let services = text.services.iter().map(Line::Service);
@@ -48,7 +48,7 @@
     source
 }
 
-/// Reads what [`write`] wrote.
+/// Decodes the output of [`encode`].
 pub(crate) fn read(source: &str) -> Result<Text, SourceError> {
     let mut lines = source.lines().zip(1..).map(|(line, number)| {
         let line = serde_json::from_str::<Read>(line);
