--- a/crates/gateway/src/header.rs
+++ b/crates/gateway/src/header.rs
@@ -21,6 +21,8 @@
 pub fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => headers.insert(HeaderName::from_static(name), value),
-        Err(_) => log::warn!(header = name; "value left out; correct the name in the text"),
+        Err(_) => {
+            log::warn!(header = name; "header skipped because its value is invalid; correct the name in the text")
+        }
     }
 }
--- a/crates/gateway/src/process/fleet/beat.rs
+++ b/crates/gateway/src/process/fleet/beat.rs
@@ -23,9 +23,9 @@
             endings: Vec::new(),
             ready: self.process.is_ready(),
             text: self.process.revision(),
-            targets: self.process.listed_position(),
-            cordons: self.process.cordon_news(),
-            registry: self.process.registry_works(),
+            targets: self.process.target_list_position(),
+            cordons: self.process.cordon_heartbeat_update(),
+            registry: self.process.is_registry_available(),
             watching: self.process.is_watching(),
             held,
         }
@@ -36,10 +36,10 @@
         self.share_limits();
         let (actives, _) = self.parted();
         let view = self.view();
-        let endings = self.process.take_endings();
+        let endings = self.process.take_outcomes();
         if self.is_active() {
             // What leaves hold goes along; what other actives hold they tell themselves.
-            let held = self.process.held_with(|host| !view.actives.contains(host));
+            let held = self.process.usage_with(|host| !view.actives.contains(host));
             let beat = Beat { endings, ..self.own_beat(held) };
             self.links.send_all(actives.iter(), &Frame::Beat(beat));
             return;
@@ -48,7 +48,7 @@
         let lead = self.lead();
         for active in &actives {
             // Told to one, or it would count twice.
-            let held = if Some(active) == primary { self.process.held() } else { Vec::new() };
+            let held = if Some(active) == primary { self.process.own_usage() } else { Vec::new() };
             let follows = Some(active) == lead.as_ref();
             let endings = endings.clone();
             let beat = Beat { follows, endings, ..self.own_beat(held) };
@@ -66,7 +66,7 @@
 
     /// Tells an entry this one's state as soon as their link is open.
     pub(super) fn beat_first(&self, to: &id::Host) {
-        let cordons = self.process.cordon_word();
+        let cordons = self.process.cordon_update();
         let beat = Beat { cordons, ..self.own_beat(Vec::new()) };
         self.links.send(to, &Frame::Beat(beat));
     }
@@ -74,10 +74,10 @@
     fn beat_to_leaves(&self) {
         let (_, leaves) = self.parted();
         let (busy, idle): (Vec<id::Host>, Vec<id::Host>) =
-            leaves.into_iter().partition(|leaf| self.process.holds(leaf));
+            leaves.into_iter().partition(|leaf| self.process.has_usage(leaf));
         self.links.send_all(idle.iter(), &Frame::Beat(self.own_beat(Vec::new())));
         for leaf in &busy {
-            let held = self.process.held_with(|host| host != leaf);
+            let held = self.process.usage_with(|host| host != leaf);
             self.links.send(leaf, &Frame::Beat(self.own_beat(held)));
         }
     }
@@ -87,7 +87,7 @@
         loop {
             let news = tokio::select! {
                 () = sleep(schedule.wait(self.now())) => false,
-                () = self.process.sent() => true,
+                () = self.process.heartbeat_requested() => true,
             };
             if news {
                 sleep(heartbeat::COALESCE_DELAY).await;
@@ -100,7 +100,7 @@
             if beat == heartbeat::Recipients::All {
                 self.beat_to_leaves();
             }
-            self.process.report();
+            self.process.report_usage();
         }
     }
 
@@ -110,17 +110,17 @@
         }
         let domain = self.peers.lock().get(from).map(|peer| peer.member.domain.clone());
         let Some(domain) = domain else { return };
-        self.process.hear_endings(&Observer { host: from.clone(), domain }, endings);
+        self.process.apply_outcomes(&Observer { host: from.clone(), domain }, endings);
     }
 
     pub(super) fn take_beat(&self, from: &id::Host, mut beat: Beat) {
         self.follow(from, &beat);
         self.hear_endings(from, std::mem::take(&mut beat.endings));
         if let Some(word) = &beat.cordons {
-            self.process.hear_cordons(word.clone());
+            self.process.apply_cordon_update(word.clone());
         }
-        if self.process.set_other(from, Some(beat.held.clone())) {
-            self.process.report();
+        if self.process.set_peer_usage(from, Some(beat.held.clone())) {
+            self.process.report_usage();
         }
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(from) else { return };
--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -21,7 +21,7 @@
 
 use crate::connection::frame::{Beat, Frame};
 use crate::process::fleet::Fleet;
-use crate::version::source;
+use crate::version::encoding;
 
 /// How long a peer may be ahead before it is asked for what it knows: a few heartbeats, in which
 /// changes that are on their way arrive, and a fraction of the two seconds within which a text or a
@@ -56,7 +56,7 @@
 impl Fleet {
     /// Asks a peer for what it has and this entry lacks.
     pub(super) fn follow(&self, from: &id::Host, beat: &Beat) {
-        let (text, targets) = (self.process.revision(), self.process.listed_position());
+        let (text, targets) = (self.process.revision(), self.process.target_list_position());
         let (wants_text, wants_targets) = (beat.text > text, beat.targets > targets);
         let Some((text_late, targets_late)) = self.late(from, wants_text, wants_targets) else {
             return;
@@ -103,7 +103,7 @@
         let mut texts = self.texts.lock();
         let held = texts.version().map_or(0, |version| version.revision());
         if held < table.text().revision {
-            let source = source::write(table.text());
+            let source = encoding::encode(table.text());
             texts.hold(Version::of(table.text().revision, &source), &source);
         }
     }
@@ -140,9 +140,9 @@
     }
 
     fn take_text(&self, from: &id::Host, version: Version, whole: &str) {
-        match source::read(whole) {
+        match encoding::decode(whole) {
             Ok(text) => {
-                if self.process.adopt(text, "peer") {
+                if self.process.apply_text(text, "peer") {
                     self.texts.lock().hold(version, whole);
                 }
             }
--- a/crates/gateway/src/process/fleet/grant.rs
+++ b/crates/gateway/src/process/fleet/grant.rs
@@ -94,7 +94,7 @@
         match &question {
             Question::Trial(record) => self.take_poison(from, vec![record.clone()]),
             Question::Send(word) => self.take_limits(from, vec![word.clone()]),
-            Question::Cold(word) => self.process.hear_cold(word),
+            Question::Cold(word) => self.process.apply_cold_update(word),
         }
         let wait = self.decide(&question);
         self.links.send(from, &Frame::Answer { ask, wait_ms: wait.map(millis) });
--- a/crates/gateway/src/process/fleet/intake.rs
+++ b/crates/gateway/src/process/fleet/intake.rs
@@ -9,7 +9,7 @@
 impl Fleet {
     /// Tells what is news here.
     pub(super) fn share_limits(&self) {
-        let news = self.process.take_limits();
+        let news = self.process.take_limit_updates();
         if !news.is_empty() {
             self.tell_limits_to(news, true);
         }
@@ -17,7 +17,7 @@
 
     /// Takes in what another entry tells, and hands it on to those that it does not tell itself.
     pub(super) fn take_limits(&self, from: &id::Host, words: Vec<Update>) {
-        let news = self.process.hear_limits(words);
+        let news = self.process.apply_limit_updates(words);
         if !news.is_empty() && self.is_active() {
             let leaf = !self.view().actives.contains(from);
             self.tell_limits_to(news, leaf);
@@ -26,7 +26,7 @@
 
     /// Tells an entry whose link has just opened all limits.
     pub(super) fn tell_limits(&self, to: &id::Host) {
-        let known = self.process.all_limits();
+        let known = self.process.all_limit_updates();
         if !known.is_empty() {
             self.links.send(to, &Frame::Limits(known));
         }
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -314,7 +314,7 @@
 
     /// Tells the entries that carry the traffic that a request was refused: any may meet it again.
     pub(crate) fn share_refused(&self, print: Fingerprint, age: Duration) {
-        self.process.note_refused(print, age);
+        self.process.record_refusal(print, age);
         let (actives, _) = self.parted();
         self.links.send_all(actives.iter(), &Frame::Refused { print, age_ms: millis(age) });
     }
@@ -354,11 +354,11 @@
         }
         drop(peers);
         alive.insert(self.own.host.clone(), own);
-        self.process.set_alive(alive.len());
+        self.process.set_live_entries(alive.len());
         let alive: Vec<Presence> = alive.into_values().collect();
         let members: Vec<Member> = alive.iter().map(|p| p.member.clone()).collect();
         let actives = topology::actives(&members);
-        self.process.set_actives(actives.len());
+        self.process.set_active_entries(actives.len());
         let links = topology::links(&self.own, &actives).into_iter().cloned().collect();
         let actives: BTreeSet<id::Host> =
             actives.into_iter().map(|member| member.host.clone()).collect();
@@ -410,7 +410,7 @@
         );
         self.peers.lock().remove(host);
         self.ask_others(host);
-        self.process.set_other(host, None);
+        self.process.set_peer_usage(host, None);
         self.stale.notify_one();
         self.changed.notify_waiters();
     }
@@ -427,7 +427,7 @@
             Frame::Limits(words) => self.take_limits(from, words),
             Frame::Spent(word) => self.take_spent(from, word.target.clone(), Frame::Spent(word)),
             Frame::SpentCold(word) => {
-                self.process.hear_cold(&word);
+                self.process.apply_cold_update(&word);
                 self.take_spent(from, word.target.clone(), Frame::SpentCold(word));
             }
             Frame::Ask { ask, question } => self.take_question(from, ask, question),
@@ -436,11 +436,11 @@
             Frame::Turn { engine, request } => self.desk.grant(self, &engine, &request),
             Frame::TurnDone { engine, request } => self.desk.done(self, &engine, &request),
             Frame::Refused { print, age_ms } => {
-                self.process.note_refused(print, Duration::from_millis(age_ms));
+                self.process.record_refusal(print, Duration::from_millis(age_ms));
             }
             Frame::Targets { revision, targets } => {
                 self.lists.lock().end();
-                self.process.list_targets(revision, targets, "peer");
+                self.process.apply_target_list(revision, targets, "peer");
             }
             Frame::Changes { since, revision, changes } => {
                 self.take_changes(since, revision, changes);
@@ -451,7 +451,7 @@
     /// Takes in changes from a peer, and hands them on to those that know no other active.
     fn take_changes(&self, since: Position, revision: Position, changes: Vec<Change>) {
         // Changes follow a list; whoever has none yet gets one with all that has changed.
-        let Some(own) = self.process.listed_position() else { return };
+        let Some(own) = self.process.target_list_position() else { return };
         // Changes of a later era follow its list, which is asked for by its heartbeats.
         if revision.era() != own.era() {
             return;
@@ -459,7 +459,7 @@
         // Guards against a missed change: taking the new revision over would hide the gap, and the
         // whole list would never be asked for.
         let reached = if own >= since { revision } else { own };
-        let news = self.process.change_targets(reached, changes);
+        let news = self.process.apply_target_changes(reached, changes);
         if !news.is_empty() && self.is_active() {
             let followers = self.followers();
             let frame = Frame::Changes { since, revision, changes: news };
--- a/crates/gateway/src/process/fleet/poison.rs
+++ b/crates/gateway/src/process/fleet/poison.rs
@@ -9,7 +9,7 @@
 impl Fleet {
     /// Tells the actives what is news here, and the leaves what they must hold back.
     pub(super) fn share_poison(&self) {
-        let news = self.process.take_poison();
+        let news = self.process.take_poison_updates();
         if news.is_empty() {
             return;
         }
@@ -20,19 +20,19 @@
 
     /// Takes in what another entry tells, and hands it on to those that it does not tell itself.
     pub(super) fn take_poison(&self, from: &id::Host, records: Vec<Record>) {
-        let news = self.process.hear_poison(records);
+        let news = self.process.apply_poison(records);
         if news.is_empty() || !self.is_active() {
             return;
         }
         match self.view().actives.contains(from) {
             true => self.tell_leaves(&news),
-            false => self.process.pass_on_poison(&news),
+            false => self.process.forward_poison(&news),
         }
     }
 
     /// Tells an entry whose link has just opened all that matters.
     pub(super) fn tell_poison(&self, to: &id::Host) {
-        let known = self.process.all_poison();
+        let known = self.process.poison_snapshot();
         if !known.is_empty() {
             self.links.send(to, &Frame::Poison(known));
         }
--- a/crates/gateway/src/process/kept.rs
+++ b/crates/gateway/src/process/kept.rs
@@ -24,9 +24,9 @@
 impl Kept {
     /// Counts a copy at once and tells the other entries of it soon.
     pub(crate) fn open(process: &Arc<Process>, target: &id::Target, tokens: u64) -> Self {
-        process.count_copy(target, 0, tokens);
-        process.report();
-        process.note_sent();
+        process.replace_copy_tokens(target, 0, tokens);
+        process.report_usage();
+        process.request_heartbeat();
         Self { process: Arc::clone(process), target: target.clone(), tokens }
     }
 
@@ -36,13 +36,13 @@
 
     /// Counts what the copy holds now.
     pub(crate) fn grow(&mut self, tokens: u64) {
-        self.process.count_copy(&self.target, self.tokens, tokens);
+        self.process.replace_copy_tokens(&self.target, self.tokens, tokens);
         self.tokens = tokens;
     }
 }
 
 impl Drop for Kept {
     fn drop(&mut self) {
-        self.process.count_copy(&self.target, self.tokens, 0);
+        self.process.replace_copy_tokens(&self.target, self.tokens, 0);
     }
 }
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -26,7 +26,7 @@
 use crate::process::serve::Listeners;
 use crate::process::settings::Settings;
 use crate::process::state::Process;
-use crate::version::{follow, report};
+use crate::version::{engine_poll, watcher};
 
 /// How often a drain looks whether requests are still in progress.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
@@ -88,8 +88,8 @@
         let peers = tokio::net::TcpListener::from_std(peers).map_err(failed)?;
         let fleet = Fleet::spawn(Arc::clone(&process), peers);
         let server = serve::spawn::<P>(&process, &fleet, listeners).map_err(failed)?;
-        follow::spawn::<P>(&process, &fleet);
-        report::spawn::<P>(&process, &fleet);
+        watcher::spawn::<P>(&process, &fleet);
+        engine_poll::spawn::<P>(&process, &fleet);
         let lanes = Arc::clone(&process);
         ntex::rt::spawn(async move {
             loop {
--- a/crates/gateway/src/process/state/cordon.rs
+++ b/crates/gateway/src/process/state/cordon.rs
@@ -27,21 +27,21 @@
 
     /// Replaces all cordons by a list from the registry; returns whether peers need the result at
     /// once.
-    pub(crate) fn list_cordons(&self, at: Position, listed: BTreeSet<id::Domain>) -> bool {
+    pub(crate) fn apply_cordon_list(&self, at: Position, listed: BTreeSet<id::Domain>) -> bool {
         let now = self.clock.now();
         self.update_cordons("registry", |cordons| cordons.apply_list(now, at, listed))
     }
 
     /// Applies changes of cordons from the registry; returns whether peers need the result at once.
-    pub(crate) fn change_cordons(&self, at: Position, changes: &[Change]) -> bool {
+    pub(crate) fn apply_cordon_changes(&self, at: Position, changes: &[Change]) -> bool {
         let now = self.clock.now();
         self.update_cordons("registry", |cordons| cordons.apply_changes(now, at, changes))
     }
 
     /// Applies an update from another entry; returns whether peers need the result at once.
-    pub(crate) fn hear_cordons(&self, word: Update) -> bool {
+    pub(crate) fn apply_cordon_update(&self, update: Update) -> bool {
         let now = self.clock.now();
-        self.update_cordons("peer", |cordons| cordons.apply_update(now, word))
+        self.update_cordons("peer", |cordons| cordons.apply_update(now, update))
     }
 
     /// Drops cordons that the registry still does not list some time after it was restored from an
@@ -52,12 +52,12 @@
     }
 
     /// The update for an entry whose link has just opened; `None` where no cordons are known.
-    pub(crate) fn cordon_word(&self) -> Option<Update> {
+    pub(crate) fn cordon_update(&self) -> Option<Update> {
         self.cordons.lock().to_update(self.clock.now())
     }
 
     /// The update for each heartbeat; see [`Cordons::heartbeat_update`].
-    pub(crate) fn cordon_news(&self) -> Option<Update> {
+    pub(crate) fn cordon_heartbeat_update(&self) -> Option<Update> {
         self.cordons.lock().heartbeat_update(self.clock.now())
     }
 
@@ -83,7 +83,7 @@
             ::log::info!(domain:% = domain, revision:% = at, source = source; "cordon lifted");
         }
         if changed || first {
-            self.refresh();
+            self.refresh_lanes();
         }
         changed
     }
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -1,10 +1,10 @@
 //! The state that all requests of a process share. Each part has a lock of its own.
 
 mod cordon;
-mod holdings;
-mod intake;
 mod poison;
+mod target_limits;
 mod targets;
+mod usage;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -34,26 +34,26 @@
 use crate::process::settings::{Bounds, Settings};
 use crate::process::state::poison::Poison;
 
-pub(crate) use poison::Inspection;
+pub(crate) use poison::CrashCheck;
 
 /// Share of the configured retry ratio that the entry's own successes earn. The rest leaves room
 /// for requests that are counted in another window than their retries.
-const RETRY_EARNED: f64 = 0.5;
+const RETRY_EARNED_SHARE: f64 = 0.5;
 
 /// Time after its start by which an entry is taken to know the other entries: links are open and
 /// lists of live members were exchanged.
-pub(crate) const SETTLED: Duration = Duration::from_secs(2);
+pub(crate) const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Time after the start in which a process holds requests that it cannot serve yet.
-const STARTING: Duration = Duration::from_secs(1);
+const STARTUP_WINDOW: Duration = Duration::from_secs(1);
 
 /// Longest wait of a request for the initial state of a starting entry. It is shorter than a
 /// refusal and the caller's retry would take.
-const WARM_UP: Duration = Duration::from_millis(300);
+const INITIAL_SYNC_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time without a request after which an entry is idle. Callers keep the addresses of entries for
 /// seconds.
-const IDLE: Duration = Duration::from_secs(3);
+const IDLE_AFTER: Duration = Duration::from_secs(3);
 
 /// Shared state of one entry process.
 #[derive(Debug)]
@@ -73,32 +73,32 @@
     /// Tokens of the copies that this entry had engines make, by the target that holds them.
     copies: Mutex<HashMap<id::Target, u64>>,
     /// Requests that any entry refused recently.
-    refused: Mutex<Ledger>,
+    refusals: Mutex<Ledger>,
     /// Requests that targets crashed on.
     poison: Poison,
     /// Request rates that targets advertise.
-    intake: Mutex<Limits>,
+    target_limits: Mutex<Limits>,
     /// Token buckets of limited targets, used for the targets that this entry decides for.
-    keeper: Mutex<Buckets>,
+    buckets: Mutex<Buckets>,
     /// Memory that other entries use at targets, by entry.
-    others: Mutex<HashMap<id::Host, Vec<Held>>>,
+    peer_usage: Mutex<HashMap<id::Host, Vec<Held>>>,
     /// Bumped whenever targets change, so that running answers check whether their target drains.
-    targets: watch::Sender<u64>,
+    target_changes: watch::Sender<u64>,
     /// Makes the next heartbeat go out early.
-    sent: Notify,
-    registry: AtomicBool,
+    early_heartbeat: Notify,
+    registry_available: AtomicBool,
     /// Number of restores of the registry from an older copy that are known here.
     era: AtomicU64,
     /// Whether the latest watch of targets succeeded.
     watching: AtomicBool,
     /// When the process began to leave.
-    leaving: OnceLock<Time>,
-    listed: AtomicBool,
-    open: AtomicUsize,
+    leaving_since: OnceLock<Time>,
+    target_list_known: AtomicBool,
+    open_requests: AtomicUsize,
     /// Highest number of active entries seen so far.
-    actives: AtomicUsize,
+    max_active_entries: AtomicUsize,
     /// When the latest request arrived.
-    begun: Mutex<Time>,
+    latest_request: Mutex<Time>,
 }
 
 impl Process {
@@ -114,21 +114,23 @@
             leases: Mutex::default(),
             cordons: Mutex::default(),
             copies: Mutex::default(),
-            refused: Mutex::default(),
+            refusals: Mutex::default(),
             poison: Poison::default(),
-            intake: Mutex::default(),
-            keeper: Mutex::new(Buckets::with_membership_known_at(Time::ZERO + SETTLED)),
-            others: Mutex::default(),
-            targets: watch::channel(0).0,
-            sent: Notify::new(),
-            registry: AtomicBool::new(false),
+            target_limits: Mutex::default(),
+            buckets: Mutex::new(Buckets::with_membership_known_at(
+                Time::ZERO + MEMBERSHIP_SETTLE_TIME,
+            )),
+            peer_usage: Mutex::default(),
+            target_changes: watch::channel(0).0,
+            early_heartbeat: Notify::new(),
+            registry_available: AtomicBool::new(false),
             era: AtomicU64::new(0),
             watching: AtomicBool::new(false),
-            leaving: OnceLock::new(),
-            listed: AtomicBool::new(false),
-            open: AtomicUsize::new(0),
-            actives: AtomicUsize::new(0),
-            begun: Mutex::new(Time::ZERO),
+            leaving_since: OnceLock::new(),
+            target_list_known: AtomicBool::new(false),
+            open_requests: AtomicUsize::new(0),
+            max_active_entries: AtomicUsize::new(0),
+            latest_request: Mutex::new(Time::ZERO),
             settings,
         }))
     }
@@ -166,7 +168,7 @@
     /// Texts arrive out of order: from the registry, from peers and from a registry that serves
     /// stale data. The highest revision wins and a lower one is never applied, so their order does
     /// not matter.
-    pub(crate) fn adopt(&self, text: Text, source: &str) -> bool {
+    pub(crate) fn apply_text(&self, text: Text, source: &str) -> bool {
         let revision = text.revision;
         let mut table = self.table.write();
         let before = table.as_ref().map_or(0, |table| table.text().revision);
@@ -177,7 +179,7 @@
         *table = Some(Arc::clone(&new));
         drop(table);
         self.open_lanes(&new);
-        self.refresh();
+        self.refresh_lanes();
         ::log::info!(
             revision = revision, before = before, source = source,
             routes = new.text().routes.len(); "text in force"
@@ -190,7 +192,8 @@
         let mut lanes = self.lanes.write();
         for service in &table.text().services {
             let lane = lanes.entry(service.name.clone());
-            lane.or_insert_with(|| Lane::of(self.clock, self.terms())).set_order(order.clone());
+            lane.or_insert_with(|| Lane::of(self.clock, self.gate_settings()))
+                .set_order(order.clone());
         }
     }
 
@@ -207,21 +210,25 @@
 
     /// Sets the number of active entries, by which the limit on retries is divided. The divisor is
     /// the highest count seen and never falls.
-    pub(crate) fn set_actives(&self, count: usize) {
-        if self.actives.fetch_max(count, Ordering::AcqRel) < count {
-            let terms = self.retries();
-            self.lanes.read().values().for_each(|lane| lane.set_retries(terms));
+    pub(crate) fn set_active_entries(&self, count: usize) {
+        if self.max_active_entries.fetch_max(count, Ordering::AcqRel) < count {
+            let limits = self.retry_limits();
+            self.lanes.read().values().for_each(|lane| lane.set_retries(limits));
         }
     }
 
-    fn retries(&self) -> retry::Limits {
+    fn retry_limits(&self) -> retry::Limits {
         let bounds = self.bounds();
-        let earned = bounds.retry_ratio * RETRY_EARNED;
-        retry::Limits::share(earned, bounds.retry_burst, self.actives.load(Ordering::Acquire))
+        let earned = bounds.retry_ratio * RETRY_EARNED_SHARE;
+        retry::Limits::share(
+            earned,
+            bounds.retry_burst,
+            self.max_active_entries.load(Ordering::Acquire),
+        )
     }
 
-    fn terms(&self) -> gate::Settings {
-        let retries = self.retries();
+    fn gate_settings(&self) -> gate::Settings {
+        let retries = self.retry_limits();
         // Entries report to each other several times a second what they hold, so no entry has to
         // keep to its share of an old report.
         gate::Settings {
@@ -241,31 +248,31 @@
 
     /// Requests an early heartbeat, so that other entries learn of a change without waiting for the
     /// next regular one.
-    pub(crate) fn note_sent(&self) {
-        self.sent.notify_one();
+    pub(crate) fn request_heartbeat(&self) {
+        self.early_heartbeat.notify_one();
     }
 
     /// Waits until an early heartbeat is requested.
-    pub(crate) async fn sent(&self) {
-        self.sent.notified().await;
+    pub(crate) async fn heartbeat_requested(&self) {
+        self.early_heartbeat.notified().await;
     }
 
     /// Records that this or another entry refused a request which was first submitted `age` ago.
-    pub(crate) fn note_refused(&self, print: Fingerprint, age: Duration) {
+    pub(crate) fn record_refusal(&self, fingerprint: Fingerprint, age: Duration) {
         let now = self.clock.now();
-        self.refused.lock().record(now, print, now - age);
+        self.refusals.lock().record(now, fingerprint, now - age);
     }
 
     /// When a request that is submitted again after a refusal was submitted first; `None` where no
     /// refusal is known.
-    pub(crate) fn wanted_since(&self, print: Fingerprint) -> Option<Time> {
-        self.refused.lock().since(self.clock.now(), print)
+    pub(crate) fn first_submitted(&self, fingerprint: Fingerprint) -> Option<Time> {
+        self.refusals.lock().since(self.clock.now(), fingerprint)
     }
 
     /// Records whether the latest registry call succeeded; logs each loss and each recovery.
-    pub(crate) fn set_registry(&self, works: bool) {
-        if self.registry.swap(works, Ordering::AcqRel) != works {
-            if works {
+    pub(crate) fn set_registry_available(&self, available: bool) {
+        if self.registry_available.swap(available, Ordering::AcqRel) != available {
+            if available {
                 ::log::info!("registry answers");
             } else {
                 ::log::warn!("registry lost; serving what is known");
@@ -273,13 +280,13 @@
         }
     }
 
-    pub(crate) fn registry_works(&self) -> bool {
-        self.registry.load(Ordering::Acquire)
+    pub(crate) fn is_registry_available(&self) -> bool {
+        self.registry_available.load(Ordering::Acquire)
     }
 
     /// Records the registry's era, as the registry or peers report it: the number of times it was
     /// restored from an older copy. Returns whether the era is new here.
-    pub(crate) fn note_era(&self, era: u64, source: &str) -> bool {
+    pub(crate) fn raise_era(&self, era: u64, source: &str) -> bool {
         let before = self.era.fetch_max(era, Ordering::AcqRel);
         if era > before {
             self.metrics.restored();
@@ -297,9 +304,9 @@
     }
 
     /// Counts and logs a list of targets that was refused because it is of an earlier era.
-    pub(crate) fn refuse_older(&self, known: Position, told: Position, source: &str) {
+    pub(crate) fn record_refused_list(&self, known: Position, refused: Position, source: &str) {
         self.metrics.older();
-        ::log::info!(known:% = known, told:% = told, source = source; "targets of an earlier era refused");
+        ::log::info!(known:% = known, told:% = refused, source = source; "targets of an earlier era refused");
     }
 
     /// Records whether this entry itself watches targets at the registry.
@@ -313,73 +320,74 @@
 
     /// Starts to leave: from now on new callers are sent to other entries.
     pub(crate) fn leave(&self) {
-        self.leaving.get_or_init(|| self.clock.now());
+        self.leaving_since.get_or_init(|| self.clock.now());
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.get().is_some()
+        self.leaving_since.get().is_some()
     }
 
     /// How long the process has been leaving and how long it may still run; `None` where it does
     /// not leave.
     pub(crate) fn leaving(&self) -> Option<(Duration, Duration)> {
-        let since = self.clock.now().since(*self.leaving.get()?);
+        let since = self.clock.now().since(*self.leaving_since.get()?);
         Some((since, self.bounds().grace().saturating_sub(since)))
     }
 
     /// Whether this entry is ready for callers: it has all state that decisions need and is not
     /// leaving.
     pub(crate) fn is_ready(&self) -> bool {
-        self.is_informed() && !self.is_leaving()
+        self.has_synced() && !self.is_leaving()
     }
 
     /// Whether a text, a list of targets and the cordons are known.
-    fn is_informed(&self) -> bool {
-        self.revision() > 0 && self.is_listed() && self.knows_cordons()
+    fn has_synced(&self) -> bool {
+        self.revision() > 0 && self.has_target_list() && self.knows_cordons()
     }
 
     /// Holds a request until the initial state is there, for a limited time and only right after
     /// the start.
-    pub(crate) async fn warm_up(&self) {
+    pub(crate) async fn wait_for_initial_sync(&self) {
         let age = self.clock.now().since(Time::ZERO);
-        if self.is_informed() || age >= STARTING {
+        if self.has_synced() || age >= STARTUP_WINDOW {
             return;
         }
         let mut changes = self.watch_targets();
-        let informed = async {
+        let synced = async {
             // The sender lives as long as the process, so `changed` returns no error here.
-            while !self.is_informed() && changes.changed().await.is_ok() {}
+            while !self.has_synced() && changes.changed().await.is_ok() {}
         };
         // After the timeout the request is refused by the later checks.
-        let _ = timeout(WARM_UP, informed).await;
+        let _ = timeout(INITIAL_SYNC_TIMEOUT, synced).await;
     }
 
     /// Whether there has been no request for [`IDLE_AFTER`].
     pub(crate) fn is_idle(&self) -> bool {
-        self.open_requests() == 0 && self.clock.now().since(*self.begun.lock()) >= IDLE
+        self.open_requests() == 0
+            && self.clock.now().since(*self.latest_request.lock()) >= IDLE_AFTER
     }
 
     pub(crate) fn open_requests(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+        self.open_requests.load(Ordering::Acquire)
     }
 
     /// Counts a request as open until the returned guard is dropped.
-    pub(crate) fn begin(self: &Arc<Self>) -> Open {
-        self.open.fetch_add(1, Ordering::AcqRel);
-        *self.begun.lock() = self.clock.now();
-        Open { process: Arc::clone(self) }
+    pub(crate) fn start_request(self: &Arc<Self>) -> RequestGuard {
+        self.open_requests.fetch_add(1, Ordering::AcqRel);
+        *self.latest_request.lock() = self.clock.now();
+        RequestGuard { process: Arc::clone(self) }
     }
 }
 
 /// Counts as one open request until it is dropped; a leaving process waits for open requests.
 #[derive(Debug)]
-pub(crate) struct Open {
+pub(crate) struct RequestGuard {
     process: Arc<Process>,
 }
 
-impl Drop for Open {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.process.open.fetch_sub(1, Ordering::AcqRel);
+        self.process.open_requests.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
--- a/crates/gateway/src/process/state/intake.rs
+++ b/crates/gateway/src/process/state/target_limits.rs
@@ -14,47 +14,47 @@
 
 impl Process {
     /// Records the limit in the answer of `target` to a request that was sent at `sent`.
-    pub(crate) fn note_limit(&self, target: &Target, sent: Time, said: Advertisement) {
-        if said == Advertisement::Invalid {
-            ::log::debug!(target:% = target.id; "limit of a target can't be read");
+    pub(crate) fn record_limit(&self, target: &Target, sent: Time, advertised: Advertisement) {
+        if advertised == Advertisement::Invalid {
+            ::log::debug!(target:% = target.id; "target sent an invalid limit");
         }
-        let mut intake = self.intake.lock();
-        if !intake.record_answer(self.clock.now(), target, sent, said) {
+        let mut limits = self.target_limits.lock();
+        if !limits.record_answer(self.clock.now(), target, sent, advertised) {
             return;
         }
-        let limit = intake.limit(&target.id);
-        drop(intake);
-        self.note_sent();
+        let limit = limits.limit(&target.id);
+        drop(limits);
+        self.request_heartbeat();
         match limit {
             Some(rate) => {
                 ::log::info!(target:% = target.id, per_s:% = rate; "target names a limit")
             }
-            None => ::log::info!(target:% = target.id; "target names no limit any more"),
+            None => ::log::info!(target:% = target.id; "target no longer advertises a limit"),
         }
     }
 
     /// Number of targets that advertise a limit.
     pub(crate) fn limited_targets(&self) -> usize {
-        self.intake.lock().limited_count()
+        self.target_limits.lock().limited_count()
     }
 
     /// Sets the number of live entries, which the token buckets take into account.
-    pub(crate) fn set_alive(&self, count: usize) {
-        self.keeper.lock().set_alive(self.clock.now(), count);
+    pub(crate) fn set_live_entries(&self, count: usize) {
+        self.buckets.lock().set_alive(self.clock.now(), count);
     }
 
     /// How long a target stays cold: by its lease, or since the cordon of its failure domain was
     /// lifted. Zero where it is warm or unknown.
-    fn cold_left(&self, id: &id::Target) -> Duration {
+    fn cold_remaining(&self, id: &id::Target) -> Duration {
         let now = self.clock.now();
         let leases = self.leases.lock();
         let Some(target) = leases.get(id) else { return Duration::ZERO };
-        let settles = self.cordons.lock().settle_remaining(now, &target.domain);
-        leases.cold_remaining(now, id).max(settles)
+        let settle_time = self.cordons.lock().settle_remaining(now, &target.domain);
+        leases.cold_remaining(now, id).max(settle_time)
     }
 
     /// The limit of a target while it is cold; `None` where its service sets none.
-    fn cold_terms(&self, id: &id::Target) -> Option<cold::Limit> {
+    fn cold_limit(&self, id: &id::Target) -> Option<cold::Limit> {
         let service = self.leases.lock().get(id)?.service.clone();
         let warmup = self.table()?.service(&service)?.warmup?;
         let bounds = self.bounds();
@@ -64,76 +64,76 @@
 
     /// The limits that apply to a target now.
     fn allowance(&self, target: &id::Target) -> Allowance {
-        let named = self.intake.lock().limit(target);
-        let cold = match self.cold_left(target) {
+        let advertised = self.target_limits.lock().limit(target);
+        let cold = match self.cold_remaining(target) {
             Duration::ZERO => None,
-            _ => self.cold_terms(target),
+            _ => self.cold_limit(target),
         };
-        Allowance { advertised: named, cold }
+        Allowance { advertised, cold }
     }
 
     /// Number of targets that are cold.
     pub(crate) fn cold_targets(&self) -> usize {
         let ids: Vec<id::Target> = self.leases.lock().all().map(|t| t.id.clone()).collect();
-        ids.iter().filter(|id| !self.cold_left(id).is_zero()).count()
+        ids.iter().filter(|id| !self.cold_remaining(id).is_zero()).count()
     }
 
     /// Applies an update of another entry about a cold target.
-    pub(crate) fn hear_cold(&self, word: &cold::Update) {
-        self.leases.lock().apply_cold_update(self.clock.now(), word);
+    pub(crate) fn apply_cold_update(&self, update: &cold::Update) {
+        self.leases.lock().apply_cold_update(self.clock.now(), update);
     }
 
     /// Takes a token for a request to a limited target; where there is none, returns the time after
     /// which to ask again. Only the entry that decides for the target calls it.
     pub(crate) fn try_send(&self, target: &id::Target) -> Option<Duration> {
         let allowance = self.allowance(target);
-        self.keeper.lock().try_send(self.clock.now(), target, &allowance)
+        self.buckets.lock().try_send(self.clock.now(), target, &allowance)
     }
 
     /// Takes a token for a request that is sent whether or not there is one. Only the entry that
     /// decides for the target calls it.
     pub(crate) fn spend(&self, target: &id::Target) {
         let allowance = self.allowance(target);
-        self.keeper.lock().spend(self.clock.now(), target, &allowance);
+        self.buckets.lock().spend(self.clock.now(), target, &allowance);
     }
 
     /// The question for the entry that decides for a target, to be asked before a request is sent
     /// there; `None` where the target is not limited.
     pub(crate) fn question(&self, target: &id::Target) -> Option<Question> {
         let now = self.clock.now();
-        let Allowance { advertised: named, cold } = self.allowance(target);
+        let Allowance { advertised, cold } = self.allowance(target);
         if cold.is_some() {
             let start = self.leases.lock().get(target)?.start;
-            let left = millis(self.cold_left(target));
+            let remaining_ms = millis(self.cold_remaining(target));
             return Some(Question::Cold(cold::Update {
                 target: target.clone(),
                 start,
-                remaining_ms: left,
+                remaining_ms,
             }));
         }
-        named?;
-        self.intake.lock().to_update(now, target).map(Question::Send)
+        advertised?;
+        self.target_limits.lock().to_update(now, target).map(Question::Send)
     }
 
     /// Takes the limit updates that are due to be sent to other entries.
-    pub(crate) fn take_limits(&self) -> Vec<Update> {
-        self.intake.lock().take_updates(self.clock.now())
+    pub(crate) fn take_limit_updates(&self) -> Vec<Update> {
+        self.target_limits.lock().take_updates(self.clock.now())
     }
 
     /// All limits, for an entry whose link has just opened.
-    pub(crate) fn all_limits(&self) -> Vec<Update> {
-        self.intake.lock().all_updates(self.clock.now())
+    pub(crate) fn all_limit_updates(&self) -> Vec<Update> {
+        self.target_limits.lock().all_updates(self.clock.now())
     }
 
     /// Applies limit updates of another entry; returns those that were new.
-    pub(crate) fn hear_limits(&self, words: Vec<Update>) -> Vec<Update> {
-        self.intake.lock().apply(self.clock.now(), words)
+    pub(crate) fn apply_limit_updates(&self, updates: Vec<Update>) -> Vec<Update> {
+        self.target_limits.lock().apply(self.clock.now(), updates)
     }
 
     /// Drops the limits and token buckets of targets that are no longer listed.
-    pub(super) fn keep_limits(&self, leases: &Leases) {
-        let mut intake = self.intake.lock();
-        intake.retain(|id| leases.get(id));
-        self.keeper.lock().retain(|target| leases.get(target).is_some());
+    pub(super) fn retain_limits(&self, leases: &Leases) {
+        let mut limits = self.target_limits.lock();
+        limits.retain(|id| leases.get(id));
+        self.buckets.lock().retain(|target| leases.get(target).is_some());
     }
 }
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -19,14 +19,14 @@
         self.lanes.read().values().for_each(|lane| lane.poll());
         let now = self.clock.now();
         if self.leases.lock().expire(now) {
-            ::log::info!("targets still missing after an outage are gone");
-            self.refresh();
+            ::log::info!("targets still missing after a registry outage were removed");
+            self.refresh_lanes();
         }
         self.expire_cordons();
     }
 
     /// Takes the outcomes of requests at targets that are due to be sent to other entries.
-    pub(crate) fn take_endings(&self) -> Vec<Ending> {
+    pub(crate) fn take_outcomes(&self) -> Vec<Ending> {
         let lanes = self.lanes.read();
         let of = |(service, lane): (&id::Service, &Arc<Lane>)| {
             let service = service.clone();
@@ -38,7 +38,7 @@
     }
 
     /// Applies the outcomes that another entry observed.
-    pub(crate) fn hear_endings(&self, from: &Observer, endings: Vec<Ending>) {
+    pub(crate) fn apply_outcomes(&self, from: &Observer, endings: Vec<Ending>) {
         let lanes = self.lanes.read();
         for ending in endings {
             if let Some(lane) = lanes.get(&ending.service) {
@@ -48,7 +48,7 @@
     }
 
     /// Passes the current targets to the lanes and wakes running answers.
-    pub(super) fn refresh(&self) {
+    pub(super) fn refresh_lanes(&self) {
         let lanes = self.lanes.read();
         let mut leases = self.leases.lock();
         for target in leases.take_restarted() {
@@ -62,38 +62,43 @@
             drop(cordons);
             lane.set_open(targets, &cordoned);
         }
-        self.keep_limits(&leases);
-        self.settle_doubts(&leases);
+        self.retain_limits(&leases);
+        self.confirm_crashes(&leases);
         drop(leases);
         drop(lanes);
-        self.targets.send_modify(|count| *count += 1);
+        self.target_changes.send_modify(|count| *count += 1);
     }
 
     /// Applies a full list of targets; returns whether it changed anything. A list of an earlier
     /// era is refused.
-    pub(crate) fn list_targets(&self, at: Position, targets: Vec<Target>, source: &str) -> bool {
+    pub(crate) fn apply_target_list(
+        &self,
+        at: Position,
+        targets: Vec<Target>,
+        source: &str,
+    ) -> bool {
         let now = self.clock.now();
-        self.listed.store(true, Ordering::Release);
-        self.note_era(at.era(), source);
+        self.target_list_known.store(true, Ordering::Release);
+        self.raise_era(at.era(), source);
         let count = targets.len();
         let mut leases = self.leases.lock();
         let known = leases.position();
         if known.has_later_era_than(at) {
             drop(leases);
-            self.refuse_older(known, at, source);
+            self.record_refused_list(known, at, source);
             return false;
         }
         let changed = leases.apply_list(now, at, targets);
         drop(leases);
         if changed {
             ::log::info!(revision:% = at, listed = count, source = source; "targets listed");
-            self.refresh();
+            self.refresh_lanes();
         }
         changed
     }
 
     /// Applies changes of targets; returns those that were new.
-    pub(crate) fn change_targets(&self, at: Position, changes: Vec<Change>) -> Vec<Change> {
+    pub(crate) fn apply_target_changes(&self, at: Position, changes: Vec<Change>) -> Vec<Change> {
         let now = self.clock.now();
         let news = self.leases.lock().apply_changes(now, at, changes);
         for change in &news {
@@ -101,24 +106,24 @@
             ::log::info!(revision:% = at, change = line.as_str(); "target changed");
         }
         if !news.is_empty() {
-            self.refresh();
+            self.refresh_lanes();
         }
         news
     }
 
     /// Marks a target as draining because it says so itself; returns the change for other entries,
     /// `None` where it is not new.
-    pub(crate) fn target_leaves(&self, target: &id::Target) -> Option<Change> {
+    pub(crate) fn mark_target_draining(&self, target: &id::Target) -> Option<Change> {
         let left = {
             let mut leases = self.leases.lock();
             leases.mark_draining(target).then(|| leases.get(target).cloned())?
         };
         ::log::info!(target:% = target; "target says that it leaves");
-        self.refresh();
+        self.refresh_lanes();
         left.map(Change::Put)
     }
 
-    pub(crate) fn outage_over(&self) {
+    pub(crate) fn start_lease_grace(&self) {
         self.leases.lock().start_grace(self.clock.now());
     }
 
@@ -131,7 +136,7 @@
     }
 
     /// The other targets in a target's failure domain.
-    pub(crate) fn neighbours(&self, id: &id::Target) -> BTreeSet<id::Target> {
+    pub(crate) fn same_domain_targets(&self, id: &id::Target) -> BTreeSet<id::Target> {
         let leases = self.leases.lock();
         let Some(own) = leases.get(id) else { return BTreeSet::new() };
         let near = leases.all().filter(|t| t.domain == own.domain && t.id != own.id);
@@ -151,17 +156,17 @@
     ///
     /// An empty list leaves the position at 0, so the position alone does not tell whether there
     /// was a list.
-    pub(crate) fn listed_position(&self) -> Option<Position> {
-        self.is_listed().then(|| self.targets_position())
+    pub(crate) fn target_list_position(&self) -> Option<Position> {
+        self.has_target_list().then(|| self.targets_position())
     }
 
-    pub(crate) fn is_listed(&self) -> bool {
-        self.listed.load(Ordering::Acquire)
+    pub(crate) fn has_target_list(&self) -> bool {
+        self.target_list_known.load(Ordering::Acquire)
     }
 
     /// Returns a receiver that is notified whenever targets change.
     pub(crate) fn watch_targets(&self) -> watch::Receiver<u64> {
-        self.targets.subscribe()
+        self.target_changes.subscribe()
     }
 }
 
--- a/crates/gateway/src/process/state/holdings.rs
+++ b/crates/gateway/src/process/state/usage.rs
@@ -14,7 +14,7 @@
 impl Process {
     /// Changes the tokens that a copy takes at its target from `before` to `after`; 0 stands for no
     /// copy.
-    pub(crate) fn count_copy(&self, target: &id::Target, before: u64, after: u64) {
+    pub(crate) fn replace_copy_tokens(&self, target: &id::Target, before: u64, after: u64) {
         let mut copies = self.copies.lock();
         let kept = copies.entry(target.clone()).or_default();
         *kept = (*kept + after).saturating_sub(before);
@@ -24,7 +24,7 @@
     }
 
     /// Memory that this entry uses at each target.
-    pub(crate) fn held(&self) -> Vec<Held> {
+    pub(crate) fn own_usage(&self) -> Vec<Held> {
         let lanes: Vec<Arc<Lane>> = self.lanes.read().values().cloned().collect();
         let mut held: Vec<Held> = Vec::new();
         for holding in lanes.iter().flat_map(|lane| lane.holdings()) {
@@ -38,17 +38,18 @@
     }
 
     /// Memory that this entry and the other entries selected by `with` use at each target.
-    pub(crate) fn held_with(&self, with: impl Fn(&id::Host) -> bool) -> Vec<Held> {
-        let own = self.held();
-        let others = self.others.lock();
-        let picked = others.iter().filter(|(host, _)| with(host)).flat_map(|(_, held)| held);
-        sum(own.iter().chain(picked))
+    pub(crate) fn usage_with(&self, is_included: impl Fn(&id::Host) -> bool) -> Vec<Held> {
+        let own = self.own_usage();
+        let others = self.peer_usage.lock();
+        let included =
+            others.iter().filter(|(host, _)| is_included(host)).flat_map(|(_, held)| held);
+        sum(own.iter().chain(included))
     }
 
     /// Sets what another entry uses, `None` where the entry is gone; returns whether that changed
     /// anything.
-    pub(crate) fn set_other(&self, host: &id::Host, held: Option<Vec<Held>>) -> bool {
-        let mut others = self.others.lock();
+    pub(crate) fn set_peer_usage(&self, host: &id::Host, held: Option<Vec<Held>>) -> bool {
+        let mut others = self.peer_usage.lock();
         if others.get(host) == held.as_ref() {
             return false;
         }
@@ -60,18 +61,18 @@
     }
 
     /// Whether an entry reported that it uses memory at any target.
-    pub(crate) fn holds(&self, host: &id::Host) -> bool {
-        self.others.lock().get(host).is_some_and(|held| !held.is_empty())
+    pub(crate) fn has_usage(&self, host: &id::Host) -> bool {
+        self.peer_usage.lock().get(host).is_some_and(|held| !held.is_empty())
     }
 
     /// Passes the memory that all entries together use at each engine to the lanes.
-    pub(crate) fn report(&self) {
+    pub(crate) fn report_usage(&self) {
         let Some(table) = self.table() else { return };
-        let mut sums: HashMap<id::Target, Sum> = HashMap::new();
-        for held in &self.held() {
+        let mut sums: HashMap<id::Target, Usage> = HashMap::new();
+        for held in &self.own_usage() {
             sums.entry(held.target.clone()).or_default().add(held);
         }
-        for held in self.others.lock().values().flatten() {
+        for held in self.peer_usage.lock().values().flatten() {
             let sum = sums.entry(held.target.clone()).or_default();
             sum.add(held);
             sum.others_unread += held.unread.get();
@@ -100,13 +101,13 @@
 
 /// Memory that all entries use at one target.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
+struct Usage {
     tokens: u64,
     streams: u32,
     others_unread: u64,
 }
 
-impl Sum {
+impl Usage {
     fn add(&mut self, held: &Held) {
         self.tokens += held.tokens.get() + held.copies.get();
         self.streams += held.streams;
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -142,10 +142,10 @@
     })?;
     let reply = P::reply(response.status, &response.headers);
     if !reply.misdirected {
-        worker.process.note_limit(&target, sent, reply.limit);
+        worker.process.record_limit(&target, sent, reply.limit);
     }
     if reply.misdirected {
-        worker.process.target_replaced(id);
+        worker.process.mark_target_replaced(id);
         return Err(Ended::Unrun("misdirected"));
     }
     if reply.declined {
--- a/crates/gateway/src/request/broken.rs
+++ b/crates/gateway/src/request/broken.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 use crate::connection::exchange::CONNECT_TIMEOUT;
-use crate::process::state::{Inspection, Process, millis};
+use crate::process::state::{CrashCheck, Process, millis};
 use crate::request::{Inquiry, Worker};
 
 /// What became of a target at which a run broke off.
@@ -53,7 +53,7 @@
 
     /// Finds out in the background what became of the target.
     pub(crate) fn spawn(self) {
-        let inspection = Inspection::open(&self.process, self.print);
+        let inspection = CrashCheck::open(&self.process, self.print);
         let at = self.process.clock.now();
         ntex::rt::spawn(async move {
             self.note(self.fate().await, at);
@@ -82,12 +82,12 @@
         let lasted = at.since(self.sent);
         self.process.metrics.broken(fate);
         let ends = match fate {
-            Fate::Ended => self.process.note_end(at, self.print, &self.target, lasted),
+            Fate::Ended => self.process.record_crash(at, self.print, &self.target, lasted),
             Fate::Lives => {
-                self.process.doubt(at, self.print, &self.target, lasted);
-                self.process.ends(self.print)
+                self.process.record_unconfirmed_crash(at, self.print, &self.target, lasted);
+                self.process.crashes(self.print)
             }
-            Fate::Leaving => self.process.ends(self.print),
+            Fate::Leaving => self.process.crashes(self.print),
         };
         log::info!(
             request = self.request.as_str(), print:% = self.print, target:% = self.target.id,
--- a/crates/gateway/src/request/carry.rs
+++ b/crates/gateway/src/request/carry.rs
@@ -68,7 +68,7 @@
         if !backups || !is_long(inquiry) {
             return None;
         }
-        let near = worker.process.neighbours(at);
+        let near = worker.process.same_domain_targets(at);
         let refuges = pass.refuges(&near, Some(BACKUP_RESERVE));
         let refuge = refuges.into_iter().find(|refuge| refuge != at)?;
         let target = worker.process.target(&refuge)?;
--- a/crates/gateway/src/request/held.rs
+++ b/crates/gateway/src/request/held.rs
@@ -15,7 +15,7 @@
 
 /// Refuses a request that is held back, before it waits for anything.
 pub(crate) fn refused(worker: &Worker, inquiry: &Inquiry) -> Option<Response> {
-    match worker.process.verdict(inquiry.print) {
+    match worker.process.decide(inquiry.print) {
         Decision::Allow | Decision::Trial => None,
         Decision::Refuse(wait) => Some(refuse(worker, inquiry, wait)),
     }
@@ -35,8 +35,8 @@
     if inquiry.trial.get() {
         return None;
     }
-    worker.process.settle(inquiry.print, CONNECT_TIMEOUT).await;
-    match worker.process.verdict(inquiry.print) {
+    worker.process.wait_for_checks(inquiry.print, CONNECT_TIMEOUT).await;
+    match worker.process.decide(inquiry.print) {
         Decision::Allow => None,
         Decision::Refuse(wait) => Some(wait),
         Decision::Trial => {
@@ -55,6 +55,6 @@
     worker.process.metrics.held(decision);
     log::info!(
         request = inquiry.facts.request.as_str(), print:% = inquiry.print, decision = decision,
-        ends = worker.process.ends(inquiry.print), retry_after_ms = millis(wait); "held back"
+        ends = worker.process.crashes(inquiry.print), retry_after_ms = millis(wait); "held back"
     );
 }
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -141,7 +141,7 @@
 /// Serves one request from its head to its answer.
 pub(crate) async fn serve<P: Platform>(worker: &Worker, request: Request) -> Response {
     let arrived = worker.process.clock.now();
-    let open = worker.process.begin();
+    let open = worker.process.start_request();
     let leaving = worker.process.is_leaving();
     let mut answered = match inquire::<P>(worker, request, arrived).await {
         Ok(inquiry) => {
@@ -177,7 +177,7 @@
     arrived: Time,
 ) -> Result<Inquiry, Response> {
     let facts = P::facts(request.headers());
-    worker.process.warm_up().await;
+    worker.process.wait_for_initial_sync().await;
     let Some(table) = worker.process.table() else {
         return Err(refuse::not_ready(&facts.request));
     };
@@ -215,7 +215,7 @@
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let workspace_id = workspace.as_ref().map(|workspace| &workspace.id);
     let print = Fingerprint::of(workspace_id, &path, &body);
-    let returned = route.kind.is_stream().then(|| worker.process.wanted_since(print)).flatten();
+    let returned = route.kind.is_stream().then(|| worker.process.first_submitted(print)).flatten();
     let wanted = returned.unwrap_or(arrived);
     if returned.is_some() {
         log::info!(
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -108,7 +108,7 @@
                     Err(Stop::Refused(refusal)) => self.refusal = Some(refusal),
                 }
             }
-            let suspect = self.worker.process.ends(self.inquiry.print) > 0;
+            let suspect = self.worker.process.crashes(self.inquiry.print) > 0;
             let may_hedge = self.inquiry.route.kind == Kind::Safe && self.sent == 1 && !suspect;
             let done = tokio::select! {
                 done = pending.next() => done,
@@ -200,7 +200,7 @@
     };
     pass.finish(outcome);
     if result.is_ok() {
-        worker.process.note_whole(inquiry.print);
+        worker.process.record_completion(inquiry.print);
     }
     Done { target, result }
 }
--- a/crates/gateway/src/request/probe.rs
+++ b/crates/gateway/src/request/probe.rs
@@ -23,7 +23,7 @@
         open: process.open_requests(),
         revision: process.revision(),
         era: process.era(),
-        held: process.held_back(),
+        held: process.suspects(),
         limited: process.limited_targets(),
         cordoned: process.cordoned_domains(),
         cold: process.cold_targets(),
--- a/crates/gateway/src/request/pump.rs
+++ b/crates/gateway/src/request/pump.rs
@@ -21,7 +21,7 @@
 use crate::connection::exchange::Response;
 use crate::platform::Platform;
 use crate::process::lane::Pass;
-use crate::process::state::Open;
+use crate::process::state::RequestGuard;
 use crate::request::attempt::{Begun, Ended};
 use crate::request::carry::{self, Arrived, Backup, Trip, Way};
 use crate::request::sse::Splitter;
@@ -106,7 +106,7 @@
     /// The place where the way of a copy failed, so that it is not tried twice.
     switched: bool,
     pieces: mpsc::Sender<Piece>,
-    _open: Option<Open>,
+    _open: Option<RequestGuard>,
 }
 
 impl Pump {
@@ -118,7 +118,7 @@
         backup: Option<Backup>,
         begun: Begun,
         runs: u32,
-        open: Option<Open>,
+        open: Option<RequestGuard>,
     ) -> Body {
         let (pieces, receiver) = mpsc::channel(BACKLOG);
         let last = Rc::new(Cell::new(inquiry.facts.last_event));
@@ -157,7 +157,7 @@
             End::Whole => {
                 // A caller that left meanwhile needs no end.
                 let _ = self.pieces.send(Piece::End).await;
-                self.worker.process.note_whole(self.inquiry.print);
+                self.worker.process.record_completion(self.inquiry.print);
                 self.pass.finish(Outcome::Whole);
             }
             End::Left => self.pass.finish(Outcome::Cancelled),
@@ -278,7 +278,7 @@
 
     fn refuges(&self) -> Vec<Target> {
         let process = &self.worker.process;
-        let near = process.neighbours(self.pass.target());
+        let near = process.same_domain_targets(self.pass.target());
         let refuges = self.pass.refuges(&near, None);
         refuges.iter().filter_map(|refuge| process.target(refuge)).collect()
     }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -11,7 +11,7 @@
 
 use crate::platform::Platform;
 use crate::process::lane::Pass;
-use crate::process::state::{Open, millis};
+use crate::process::state::{RequestGuard, millis};
 use crate::request::admit::{self, Stop};
 use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
 use crate::request::carry::{self, Backup};
@@ -26,7 +26,11 @@
 const MAX_ANSWER: usize = 1 << 20;
 
 /// Serves one generation; the answer goes on after this returns.
-pub(crate) async fn serve<P: Platform>(worker: &Worker, inquiry: Inquiry, open: Open) -> Response {
+pub(crate) async fn serve<P: Platform>(
+    worker: &Worker,
+    inquiry: Inquiry,
+    open: RequestGuard,
+) -> Response {
     let inquiry = Rc::new(inquiry);
     if carry::is_long(&inquiry)
         && let Some(after) = sent_away(worker, &inquiry)
@@ -70,7 +74,7 @@
 struct Run<'a> {
     worker: &'a Worker,
     inquiry: Rc<Inquiry>,
-    open: Option<Open>,
+    open: Option<RequestGuard>,
     sent: u32,
     /// Whether an attempt arrived at a target.
     arrived: bool,
@@ -167,7 +171,7 @@
     async fn attempt<P: Platform>(&mut self, pass: Pass) -> Result<Response, Ended> {
         self.sent += 1;
         self.flying = true;
-        self.worker.process.note_sent();
+        self.worker.process.request_heartbeat();
         let backup = Backup::choose(self.worker, &self.inquiry, &pass, pass.target());
         let extra = Extra { backup: backup.as_ref().map(Backup::address), ..Extra::default() };
         let begun = attempt::begin::<P>(self.worker, &self.inquiry, pass.target(), &extra).await;
@@ -203,7 +207,7 @@
             }
             Ended::Unknown("cut")
         })?;
-        self.worker.process.note_whole(self.inquiry.print);
+        self.worker.process.record_completion(self.inquiry.print);
         let more = self.sent < self.inquiry.route.attempts;
         if failed && more && self.inquiry.route.kind.is_idempotent() {
             return Err(Ended::Unknown("failed"));
--- a/crates/gateway/src/version/report.rs
+++ b/crates/gateway/src/version/engine_poll.rs
@@ -21,22 +21,22 @@
 
 /// Time between two polls of an engine: a quarter of the shortest notice in use, of which an answer
 /// needs 0.2 s to move.
-const PAUSE: Duration = Duration::from_millis(350);
+const POLL_INTERVAL: Duration = Duration::from_millis(350);
 
 /// Timeout of a report call. An engine answers it without a place among its requests.
-const TIMEOUT: Duration = Duration::from_millis(300);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Largest report that is read, in bytes; one with a hundred running requests takes some 5 KB.
-const MAX_REPLY: usize = 256 << 10;
+const MAX_REPORT_BYTES: usize = 256 << 10;
 
 /// Starts the task that polls engines while no entry watches targets.
 pub(crate) fn spawn<P: Platform>(process: &Arc<Process>, fleet: &Arc<Fleet>) {
     let (process, fleet) = (Arc::clone(process), Arc::clone(fleet));
     ntex::rt::spawn(async move {
         loop {
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
             if fleet.is_blind() {
-                ask_all::<P>(&process, &fleet);
+                poll_all::<P>(&process, &fleet);
             }
         }
     })
@@ -44,33 +44,34 @@
 }
 
 /// Polls every engine on which answers of this entry run and whose answers have room elsewhere.
-fn ask_all<P: Platform>(process: &Arc<Process>, fleet: &Arc<Fleet>) {
-    let held = process.held().into_iter().filter(|held| held.streams > 0);
-    let ready = held.filter(|held| process.is_target_ready(&held.target));
-    let known = ready.filter_map(|held| process.target(&held.target));
+fn poll_all<P: Platform>(process: &Arc<Process>, fleet: &Arc<Fleet>) {
+    let used = process.own_usage().into_iter().filter(|usage| usage.streams > 0);
+    let ready = used.filter(|usage| process.is_target_ready(&usage.target));
+    let known = ready.filter_map(|usage| process.target(&usage.target));
     let has_refuge = |t: &Target| process.lane(&t.service).is_some_and(|lane| lane.has_refuge());
     for target in known.filter(has_refuge) {
         let (process, fleet) = (Arc::clone(process), Arc::clone(fleet));
-        ntex::rt::spawn(async move { ask::<P>(&process, &fleet, &target).await }).detach();
+        ntex::rt::spawn(async move { poll::<P>(&process, &fleet, &target).await }).detach();
     }
 }
 
-async fn ask<P: Platform>(process: &Process, fleet: &Fleet, target: &Target) {
+async fn poll<P: Platform>(process: &Process, fleet: &Fleet, target: &Target) {
     let call = P::report();
     let (method, path, body) = (call.method, call.path, Bytes::from(call.body));
     let outgoing = Outgoing { method, path, headers: HeaderMap::new(), body };
-    let (status, body) = match exchange::call(target.address, outgoing, TIMEOUT, MAX_REPLY).await {
-        Ok(replied) => replied,
-        Err(error) => {
-            ::log::info!(target:% = target.id, error:% = error; "no report");
-            return;
-        }
-    };
+    let (status, body) =
+        match exchange::call(target.address, outgoing, REPORT_TIMEOUT, MAX_REPORT_BYTES).await {
+            Ok(reply) => reply,
+            Err(error) => {
+                ::log::info!(target:% = target.id, error:% = error; "no report");
+                return;
+            }
+        };
     if !P::leaves(status, &body) {
         return;
     }
     let since = process.targets_position();
-    if let Some(change) = process.target_leaves(&target.id) {
+    if let Some(change) = process.mark_target_draining(&target.id) {
         fleet.share_changes(since, vec![change]);
     }
 }
--- a/crates/gateway/src/version/history.rs
+++ b/crates/gateway/src/version/history.rs
@@ -11,14 +11,14 @@
 pub(crate) struct History {
     process: Arc<Process>,
     /// The position of the latest reply.
-    seen: Position,
+    latest: Position,
     /// The latest lower era that the registry reported, so that it is logged once.
-    fallen: Option<u64>,
+    lowered_era: Option<u64>,
 }
 
 impl History {
     pub(crate) fn open(process: &Arc<Process>) -> Self {
-        Self { process: Arc::clone(process), seen: Position::default(), fallen: None }
+        Self { process: Arc::clone(process), latest: Position::default(), lowered_era: None }
     }
 
     /// The era of a reply to a call that was made when the era `known` was known.
@@ -26,16 +26,16 @@
     /// Where the registry reports no era, or one below `known`, its report cannot be relied on. The
     /// reply then counts as of the known era, and [`Self::resolve_position`] raises the era
     /// whenever revisions go back.
-    pub(crate) fn era(&mut self, known: u64, said: Option<u64>) -> u64 {
-        match said {
+    pub(crate) fn resolve_era(&mut self, known: u64, reported: Option<u64>) -> u64 {
+        match reported {
             Some(era) if era >= known => {
-                self.process.note_era(era, "registry");
+                self.process.raise_era(era, "registry");
                 era
             }
-            said => {
-                if said.is_some() && said != self.fallen {
-                    ::log::warn!(known = known, said = said; "registry's era fell; going by its revisions");
-                    self.fallen = said;
+            reported => {
+                if reported.is_some() && reported != self.lowered_era {
+                    ::log::warn!(known = known, said = reported; "registry reported a lower era; relying on its revisions");
+                    self.lowered_era = reported;
                 }
                 self.process.era()
             }
@@ -44,17 +44,17 @@
 
     /// The position of a reply. A revision below that of the previous reply means a later era,
     /// whatever the registry reports.
-    pub(crate) fn position(&mut self, era: u64, revision: u64) -> Position {
+    pub(crate) fn resolve_position(&mut self, era: u64, revision: u64) -> Position {
         let mut position = Position::new(era, revision);
-        if position.era() == self.seen.era() && revision < self.seen.revision() {
+        if position.era() == self.latest.era() && revision < self.latest.revision() {
             ::log::warn!(
-                seen:% = self.seen, told:% = position;
-                "registry's revisions went back; everything is read anew"
+                seen:% = self.latest, told:% = position;
+                "registry's revisions went back; reading everything again"
             );
             position = Position::new(era + 1, revision);
-            self.process.note_era(era + 1, "revisions");
+            self.process.raise_era(era + 1, "revisions");
         }
-        self.seen = position;
+        self.latest = position;
         position
     }
 }
--- a/crates/gateway/src/version/mod.rs
+++ b/crates/gateway/src/version/mod.rs
@@ -1,6 +1,6 @@
 //! Versioned data of the registry, which is texts and targets: how they are read and encoded.
 
-pub(crate) mod follow;
+pub(crate) mod encoding;
+pub(crate) mod engine_poll;
 pub(crate) mod history;
-pub(crate) mod report;
-pub(crate) mod source;
+pub(crate) mod watcher;
--- a/crates/gateway/src/version/follow.rs
+++ b/crates/gateway/src/version/watcher.rs
@@ -25,7 +25,7 @@
 use crate::connection::exchange::{self, Failure, Outgoing};
 use crate::platform::{DecodeError, Item, Page, Platform, What};
 use crate::process::fleet::Fleet;
-use crate::process::state::{Process, SETTLED, millis};
+use crate::process::state::{MEMBERSHIP_SETTLE_TIME, Process, millis};
 use crate::version::history::History;
 
 /// Longest time until the reply to a list call begins. The registry answers in milliseconds, a slow
@@ -34,20 +34,20 @@
 
 /// Longest pause within a reply. Lost packets are sent again within some hundred milliseconds; a
 /// silent connection is noticed as fast as on a link between entries.
-const REPLY_PAUSE: Duration = Duration::from_millis(900);
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How long a watch of texts waits for a change. A lost reply is noticed after this plus
 /// [`WATCH_SLACK`], within the three seconds in which a text must be in force.
 const WATCH_WAIT: Duration = Duration::from_millis(1_500);
 
 /// The wait where peers would send what this entry misses; saves fifteen in sixteen calls.
-const WATCH_COVERED: Duration = Duration::from_secs(25);
+const COVERED_WATCH_WAIT: Duration = Duration::from_secs(25);
 
 /// How long a watch of targets waits. A registry that hangs is noticed after this plus
 /// [`WATCH_SLACK`], which is less than the time engines run on after a drain notice; from then on
 /// engines are polled directly. Without changes it costs some 20 calls a day on the two smaller
 /// deployments.
-const WATCH_TARGETS: Duration = Duration::from_secs(1);
+const TARGETS_WATCH_WAIT: Duration = Duration::from_secs(1);
 
 /// Time after the wait of a watch within which its reply must begin.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
@@ -55,23 +55,23 @@
 /// Least time between two watches of targets. Where engines are taken back together, several
 /// targets change within some hundred milliseconds, the first change ends a watch, and every call
 /// is paid for. Lease renewals alone end no watch.
-const TARGETS_PAUSE: Duration = Duration::from_millis(80);
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(80);
 
 /// How often an entry that does not watch checks whether it should.
-const RECHECK: Duration = Duration::from_millis(300);
+const STANDBY_POLL: Duration = Duration::from_millis(300);
 
 /// The least time for the second watcher, which is there in case the first one fails.
-const SECOND_PAUSE: Duration = Duration::from_millis(400);
+const MIN_SECOND_WATCH_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The least time for an entry without links and callers. Many entries that are cut off from the
 /// others would otherwise make ten calls a second each without serving anybody.
-const IDLE_PAUSE: Duration = Duration::from_secs(1);
+const MIN_IDLE_WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often an entry that has just started checks whether to read the registry.
-const BEGIN_POLL: Duration = Duration::from_millis(50);
+const BOOTSTRAP_POLL: Duration = Duration::from_millis(50);
 
 /// Largest reply that is read, in bytes.
-const MAX_REPLY: usize = 8 << 20;
+const MAX_REPLY_BYTES: usize = 8 << 20;
 
 /// Why a registry call failed.
 #[derive(Debug, Display, Error)]
@@ -86,8 +86,8 @@
     #[display("{_0}")]
     Decode(#[error(not(source))] DecodeError),
     /// The registry no longer keeps the requested changes.
-    #[display("changes no longer kept; the list is read again")]
-    Forgotten,
+    #[display("changes no longer kept; reading the list again")]
+    Expired,
 }
 
 /// Starts one watcher for texts with cordons and one for targets.
@@ -97,19 +97,19 @@
         true => Bootstrap::seed(now),
         false => Bootstrap::member(now, rand::random()),
     };
-    for what in [What::Text, What::Targets] {
-        let follower = Follower {
+    for resource in [What::Text, What::Targets] {
+        let watcher = Watcher {
             history: History::open(process),
             bootstrap,
-            settled: now + SETTLED,
+            role_known_at: now + MEMBERSHIP_SETTLE_TIME,
             process: Arc::clone(process),
             fleet: Arc::clone(fleet),
             address: process.settings.registry,
-            what,
+            resource,
             failures: 0,
-            asked: process.clock.now(),
+            called_at: process.clock.now(),
         };
-        ntex::rt::spawn(follower.run::<P>()).detach();
+        ntex::rt::spawn(watcher.run::<P>()).detach();
     }
 }
 
@@ -121,66 +121,66 @@
 
 /// Changes of one reply; its texts are applied already.
 #[derive(Default)]
-struct Read {
+struct Changes {
     targets: Vec<Change>,
     cordons: Vec<cordon::Change>,
     /// Whether a text was put in force.
     adopted: bool,
 }
 
-struct Follower {
+struct Watcher {
     history: History,
     /// Decides when to read for the first time.
     bootstrap: Bootstrap,
     /// When this entry's role among the entries is known.
-    settled: Time,
+    role_known_at: Time,
     process: Arc<Process>,
     fleet: Arc<Fleet>,
     address: SocketAddr,
-    what: What,
+    resource: What,
     failures: usize,
     /// When the latest call began.
-    asked: Time,
+    called_at: Time,
 }
 
-impl Follower {
+impl Watcher {
     async fn run<P: Platform>(mut self) {
-        self.begin().await;
+        self.wait_until_due().await;
         loop {
             self.stand_by().await;
             match self.list::<P>().await {
                 Ok(position) => self.watch::<P>(position).await,
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
 
     /// Waits until this entry, which has just started, has to read the registry itself.
-    async fn begin(&self) {
+    async fn wait_until_due(&self) {
         loop {
             let now = self.process.clock.now();
             // What peers have sent is not read again before it is known which entries watch for
             // all.
-            let due = match self.is_known() {
-                true => now >= self.settled,
+            let due = match self.is_initialized() {
+                true => now >= self.role_known_at,
                 false => self.bootstrap.is_due(now, self.peers()),
             };
             if due {
                 return;
             }
-            let _ = timeout(BEGIN_POLL, self.fleet.changed()).await;
+            let _ = timeout(BOOTSTRAP_POLL, self.fleet.changed()).await;
         }
     }
 
-    fn is_known(&self) -> bool {
-        match self.what {
+    fn is_initialized(&self) -> bool {
+        match self.resource {
             What::Text => self.process.revision() > 0 && self.process.knows_cordons(),
-            What::Targets => self.process.is_listed(),
+            What::Targets => self.process.has_target_list(),
         }
     }
 
     fn peers(&self) -> Peers {
-        match self.what {
+        match self.resource {
             What::Text => self.fleet.peers(|beat| beat.text > 0 && beat.cordons.is_some()),
             What::Targets => self.fleet.peers(|beat| beat.targets.is_some()),
         }
@@ -191,22 +191,22 @@
     /// Returns after a random delay once no entry watches for it, or at once while the initial
     /// state is missing.
     async fn stand_by(&self) {
-        let mut untold = None;
+        let mut takeover_at = None;
         loop {
             let now = self.process.clock.now();
-            if self.is_told() || !self.is_known() {
-                untold = None;
+            if self.is_covered_by_peers() || !self.is_initialized() {
+                takeover_at = None;
             } else {
-                let patience = || now + backoff::initial_delay(self.fleet.part(), rand::random());
-                if now >= *untold.get_or_insert_with(patience) {
+                let takeover = || now + backoff::initial_delay(self.fleet.part(), rand::random());
+                if now >= *takeover_at.get_or_insert_with(takeover) {
                     return;
                 }
             }
-            if !self.is_known() {
+            if !self.is_initialized() {
                 return;
             }
             // The wait is bounded: a change between the check above and the wait wakes nobody.
-            let _ = timeout(RECHECK, self.fleet.changed()).await;
+            let _ = timeout(STANDBY_POLL, self.fleet.changed()).await;
         }
     }
 
@@ -215,49 +215,49 @@
         loop {
             // After a restore the registry may use revisions of an earlier era again, so changes
             // since such a revision mean nothing.
-            if self.is_told() || self.process.era() != at.era() {
+            if self.is_covered_by_peers() || self.process.era() != at.era() {
                 // Changes until the next watch may be more than the registry keeps, so it starts
                 // with a list.
                 return;
             }
-            match self.wait::<P>(at.revision()).await {
+            match self.watch_once::<P>(at.revision()).await {
                 Ok((era, _)) if era != at.era() => return,
                 Ok((_, page)) => {
                     at = at.max(Position::new(at.era(), page.revision));
-                    self.take(at, page);
-                    if self.what == What::Targets {
-                        sleep(self.targets_pause()).await;
+                    self.apply_changes(at, page);
+                    if self.resource == What::Targets {
+                        sleep(self.min_watch_interval()).await;
                     }
                 }
-                Err(CallError::Forgotten) => return,
-                Err(error) => self.pause(&error).await,
+                Err(CallError::Expired) => return,
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
 
     /// The least time until the next watch of targets.
-    fn targets_pause(&self) -> Duration {
+    fn min_watch_interval(&self) -> Duration {
         if self.fleet.is_alone() && self.process.is_idle() {
-            return IDLE_PAUSE;
+            return MIN_IDLE_WATCH_INTERVAL;
         }
-        if self.fleet.watcher() == Some(0) { TARGETS_PAUSE } else { SECOND_PAUSE }
+        if self.fleet.watcher() == Some(0) { MIN_WATCH_INTERVAL } else { MIN_SECOND_WATCH_INTERVAL }
     }
 
     /// Whether other entries watch and would send this entry what it misses.
     ///
     /// Each new text ends the watch of every entry that has one. With 80 entries, of which 18 are
     /// active, most calls of a day were watches of texts by standby entries.
-    fn is_told(&self) -> bool {
-        if !self.is_known() {
+    fn is_covered_by_peers(&self) -> bool {
+        if !self.is_initialized() {
             return false;
         }
-        match self.what {
+        match self.resource {
             What::Targets => {
-                let told = self.fleet.watcher().is_none();
-                if told {
+                let covered = self.fleet.watcher().is_none();
+                if covered {
                     self.process.set_watching(false);
                 }
-                told
+                covered
             }
             What::Text => self.fleet.is_standby() && self.fleet.is_covered(),
         }
@@ -266,19 +266,21 @@
     async fn call<P: Platform>(
         &mut self,
         path: String,
-        begin: Duration,
+        reply_timeout: Duration,
     ) -> Result<Reply, CallError> {
-        self.asked = self.process.clock.now();
+        self.called_at = self.process.clock.now();
         let known = self.process.era();
         let (method, headers) = (Method::GET, HeaderMap::new());
         let outgoing = Outgoing { method, path, headers, body: Bytes::new() };
-        let called = exchange::fetch(self.address, outgoing, begin, REPLY_PAUSE, MAX_REPLY).await;
+        let result =
+            exchange::fetch(self.address, outgoing, reply_timeout, READ_TIMEOUT, MAX_REPLY_BYTES)
+                .await;
         self.process.metrics.registry_call();
-        let whole = called.map_err(CallError::Exchange)?;
-        let era = self.history.era(known, P::era(&whole.headers));
-        match whole.status {
-            StatusCode::OK => Ok(Reply { era, body: whole.body }),
-            StatusCode::GONE => Err(CallError::Forgotten),
+        let response = result.map_err(CallError::Exchange)?;
+        let era = self.history.resolve_era(known, P::era(&response.headers));
+        match response.status {
+            StatusCode::OK => Ok(Reply { era, body: response.body }),
+            StatusCode::GONE => Err(CallError::Expired),
             status => Err(CallError::Status(status)),
         }
     }
@@ -289,14 +291,14 @@
         let mut first = None;
         let mut items = Vec::new();
         loop {
-            let path = P::list(self.what, after.as_deref());
+            let path = P::list(self.resource, after.as_deref());
             let reply = self.call::<P>(path, LIST_TIMEOUT).await?;
-            let page = P::page(self.what, &reply.body).map_err(CallError::Decode)?;
+            let page = P::page(self.resource, &reply.body).map_err(CallError::Decode)?;
             // Pages are no snapshot: what changes between them is in the changes after the first
             // page.
-            let position = self.history.position(reply.era, page.revision);
+            let position = self.history.resolve_position(reply.era, page.revision);
             if first.is_some_and(|first: Position| position.has_later_era_than(first)) {
-                return Err(CallError::Forgotten);
+                return Err(CallError::Expired);
             }
             first.get_or_insert(position);
             items.extend(page.items);
@@ -305,75 +307,79 @@
                 break;
             }
         }
-        self.recovered();
+        self.record_success();
         let position = first.unwrap_or_default();
-        self.take_list(position, items);
+        self.apply_list(position, items);
         Ok(position)
     }
 
     /// Makes one watch call; returns the changes with the era of the reply.
-    async fn wait<P: Platform>(&mut self, revision: u64) -> Result<(u64, Page), CallError> {
-        let wait = match self.what {
+    async fn watch_once<P: Platform>(&mut self, revision: u64) -> Result<(u64, Page), CallError> {
+        let wait = match self.resource {
             // A registry that was away may have been restored from an older copy and have used the
             // revision again. A watch that waits would show that only at its end.
             _ if self.failures > 0 => Duration::ZERO,
-            What::Targets => WATCH_TARGETS,
-            // Short waits are needed where few entries watch. Otherwise, if the connections of all
-            // entries to the registry fall silent together, each entry relies on the others and a
-            // new text is in force nowhere for half a minute.
+            What::Targets => TARGETS_WATCH_WAIT,
+            // Entries that watch targets always use the short wait for texts. If all entries used
+            // the long one and their connections to the registry fell silent together, a new text
+            // would be in force nowhere for half a minute.
             What::Text if self.fleet.is_covered() && self.fleet.watcher().is_none() => {
-                WATCH_COVERED
+                COVERED_WATCH_WAIT
             }
             What::Text => WATCH_WAIT,
         };
-        let path = P::watch(self.what, revision, wait);
+        let path = P::watch(self.resource, revision, wait);
         let reply = self.call::<P>(path, wait + WATCH_SLACK).await?;
-        let page = P::news(self.what, &reply.body).map_err(CallError::Decode)?;
-        let position = self.history.position(reply.era, page.revision);
-        self.recovered();
+        let page = P::news(self.resource, &reply.body).map_err(CallError::Decode)?;
+        let position = self.history.resolve_position(reply.era, page.revision);
+        self.record_success();
         Ok((position.era(), page))
     }
 
-    fn recovered(&mut self) {
-        if self.what == What::Targets {
+    /// Records that a call succeeded.
+    fn record_success(&mut self) {
+        if self.resource == What::Targets {
             if self.failures > 0 {
-                self.process.outage_over();
+                self.process.start_lease_grace();
             }
             self.process.set_watching(true);
         }
         self.failures = 0;
-        self.process.set_registry(true);
+        self.process.set_registry_available(true);
     }
 
-    async fn pause(&mut self, error: &CallError) {
+    /// Records that a call failed and waits before the next one; logs only the first of several
+    /// failures.
+    async fn back_off(&mut self, error: &CallError) {
         if self.failures == 0 {
-            let ms = millis(self.process.clock.now().since(self.asked));
-            ::log::warn!(what:% = self.what, ms = ms, error:% = error; "registry call failed");
+            let ms = millis(self.process.clock.now().since(self.called_at));
+            ::log::warn!(what:% = self.resource, ms = ms, error:% = error; "registry call failed");
         }
         self.failures += 1;
-        self.process.set_registry(false);
-        if self.what == What::Targets {
+        self.process.set_registry_available(false);
+        if self.resource == What::Targets {
             self.process.set_watching(false);
         }
         sleep(backoff::delay(self.fleet.part(), self.failures, rand::random())).await;
     }
 
-    fn take_list(&self, at: Position, items: Vec<Result<Item, DecodeError>>) {
-        let read = self.sort(items);
-        let changed = match self.what {
+    /// Applies a full list.
+    fn apply_list(&self, at: Position, items: Vec<Result<Item, DecodeError>>) {
+        let changes = self.apply_texts(items);
+        let changed = match self.resource {
             What::Text => {
-                let set = read.cordons.into_iter().filter_map(|change| match change {
+                let set = changes.cordons.into_iter().filter_map(|change| match change {
                     cordon::Change::Set(domain) => Some(domain),
                     cordon::Change::Lifted(_) => None,
                 });
-                self.process.list_cordons(at, set.collect()) || read.adopted
+                self.process.apply_cordon_list(at, set.collect()) || changes.adopted
             }
             What::Targets => {
-                let put = read.targets.into_iter().filter_map(|change| match change {
+                let put = changes.targets.into_iter().filter_map(|change| match change {
                     Change::Put(target) => Some(target),
                     Change::Gone(_) => None,
                 });
-                self.process.list_targets(at, put.collect(), "registry")
+                self.process.apply_target_list(at, put.collect(), "registry")
             }
         };
         // The next heartbeats announce what a list changed; entries that lag behind are sent the
@@ -383,32 +389,36 @@
         }
     }
 
-    fn take(&self, at: Position, page: Page) {
-        let read = self.sort(page.items);
+    /// Applies the changes of a watch and sends those that are new to other entries.
+    fn apply_changes(&self, at: Position, page: Page) {
+        let changes = self.apply_texts(page.items);
         let since = self.process.targets_position();
-        let news = self.process.change_targets(at, read.targets);
+        let news = self.process.apply_target_changes(at, changes.targets);
         if !news.is_empty() {
             self.fleet.share_changes(since, news);
         }
-        let cordoned = self.what == What::Text && self.process.change_cordons(at, &read.cordons);
-        if read.adopted || cordoned {
+        let cordoned =
+            self.resource == What::Text && self.process.apply_cordon_changes(at, &changes.cordons);
+        if changes.adopted || cordoned {
             self.fleet.beat();
         }
     }
 
     /// Puts texts in force and returns all other changes.
-    fn sort(&self, items: Vec<Result<Item, DecodeError>>) -> Read {
-        let mut read = Read::default();
+    fn apply_texts(&self, items: Vec<Result<Item, DecodeError>>) -> Changes {
+        let mut changes = Changes::default();
         for item in items {
             match item {
-                Ok(Item::Text(text)) => read.adopted |= self.process.adopt(*text, "registry"),
-                Ok(Item::Target(change)) => read.targets.push(change),
-                Ok(Item::Cordon(change)) => read.cordons.push(change),
+                Ok(Item::Text(text)) => {
+                    changes.adopted |= self.process.apply_text(*text, "registry")
+                }
+                Ok(Item::Target(change)) => changes.targets.push(change),
+                Ok(Item::Cordon(change)) => changes.cordons.push(change),
                 Err(error) => {
-                    ::log::warn!(what:% = self.what, error:% = error; "entry left out");
+                    ::log::warn!(what:% = self.resource, error:% = error; "registry entry skipped");
                 }
             }
         }
-        read
+        changes
     }
 }
