--- a/crates/gateway/src/native.rs
+++ b/crates/gateway/src/native.rs
@@ -19,8 +19,8 @@
 
 use crate::header::{number, set, text};
 use crate::platform::{
-    Call, Copy, DecodeError, Dialect, Engines, Facts, Item, Moved, Page, Registry, Reply, Stamp,
-    What,
+    Call, Copy, DecodeError, Dialect, EngineApi, Item, Moved, Page, Registry, Reply, RequestInfo,
+    Resource, TargetHeaders,
 };
 
 /// Milliseconds left for a request.
@@ -64,10 +64,10 @@
 impl Dialect for Native {
     const READINESS: &'static str = "/readyz";
 
-    fn facts(headers: &HeaderMap) -> Facts {
+    fn request_info(headers: &HeaderMap) -> RequestInfo {
         let tokens = |name| Tokens::new(number(headers, name).unwrap_or_default());
         let key = text(headers, AUTHORIZATION.as_str());
-        Facts {
+        RequestInfo {
             request: text(headers, REQUEST_HEADER).unwrap_or_default().into(),
             patience: number(headers, TIMEOUT_HEADER).map(Duration::from_millis),
             key: key.and_then(|key| key.strip_prefix("Bearer ")).map(SmolStr::from),
@@ -78,7 +78,7 @@
         }
     }
 
-    fn stamp(headers: &mut HeaderMap, stamp: &Stamp<'_>) {
+    fn set_target_headers(headers: &mut HeaderMap, stamp: &TargetHeaders<'_>) {
         for name in OWN {
             headers.remove(name);
         }
@@ -108,12 +108,12 @@
         }
     }
 
-    fn asks_entries(path: &str, query: &str) -> Option<SmolStr> {
+    fn entries_query(path: &str, query: &str) -> Option<SmolStr> {
         let domain = query.split('&').find_map(|pair| pair.strip_prefix("domain="));
         (path == "/v1/entries").then(|| domain.unwrap_or_default().into())
     }
 
-    fn entries(members: &[Entry], ttl: Duration) -> Vec<u8> {
+    fn encode_entries(members: &[Entry], ttl: Duration) -> Vec<u8> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
         let entries = Entries { ttl_ms, entries: members.to_vec() };
         serde_json::to_vec(&entries).expect("names, addresses and a number are JSON")
@@ -137,7 +137,7 @@
 }
 
 impl Listing {
-    fn page(body: &[u8]) -> Result<Page, DecodeError> {
+    fn decode(body: &[u8]) -> Result<Page, DecodeError> {
         let listing: Self = serde_json::from_slice(body)
             .map_err(|error| DecodeError { what: error.to_string() })?;
         let text = listing.text.into_iter().map(|text| Item::Text(Box::new(text)));
@@ -153,20 +153,20 @@
         number(headers, ERA_HEADER)
     }
 
-    fn list(what: What, _: Option<&str>) -> String {
+    fn list_path(what: Resource, _: Option<&str>) -> String {
         format!("/v1/registry/{what}")
     }
 
-    fn watch(what: What, since: u64, wait: Duration) -> String {
+    fn watch_path(what: Resource, since: u64, wait: Duration) -> String {
         format!("/v1/registry/{what}?since={since}&wait_ms={}", wait.as_millis())
     }
 
-    fn page(_: What, body: &[u8]) -> Result<Page, DecodeError> {
-        Listing::page(body)
+    fn decode_list(_: Resource, body: &[u8]) -> Result<Page, DecodeError> {
+        Listing::decode(body)
     }
 
-    fn news(_: What, body: &[u8]) -> Result<Page, DecodeError> {
-        Listing::page(body)
+    fn decode_watch(_: Resource, body: &[u8]) -> Result<Page, DecodeError> {
+        Listing::decode(body)
     }
 }
 
@@ -195,13 +195,13 @@
     pub leaving: bool,
 }
 
-impl Engines for Native {
+impl EngineApi for Native {
     fn move_run(request: &str, to: SocketAddr, last: bool) -> Call {
         let body = serde_json::to_vec(&Move { to, last }).expect("a move is JSON");
         Call { method: Method::POST, path: format!("/v1/runs/{request}/move"), body }
     }
 
-    fn drop_copy(name: &str) -> Call {
+    fn delete_copy(name: &str) -> Call {
         let path = format!("/v1/copies/{name}");
         Call { method: Method::DELETE, path, body: Vec::new() }
     }
@@ -210,12 +210,12 @@
         Call { method: Method::GET, path: "/v1/report".to_owned(), body: Vec::new() }
     }
 
-    fn leaves(status: StatusCode, body: &[u8]) -> bool {
+    fn is_draining(status: StatusCode, body: &[u8]) -> bool {
         let state: State = serde_json::from_slice(body).unwrap_or_default();
         status == StatusCode::OK && state.leaving
     }
 
-    fn moved(status: StatusCode, body: &[u8]) -> Moved {
+    fn decode_move(status: StatusCode, body: &[u8]) -> Moved {
         let copied: Copied = serde_json::from_slice(body).unwrap_or_default();
         match (status, copied.copy) {
             (StatusCode::OK, Some(name)) => Moved::Copied { name },
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -18,7 +18,7 @@
 
 /// What a caller's headers say about its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Facts {
+pub struct RequestInfo {
     /// The caller's id of this attempt.
     pub request: SmolStr,
     /// How long the caller waits for the answer.
@@ -47,7 +47,7 @@
 
 /// What the gateway tells a target about a request in headers.
 #[derive(Clone, Debug)]
-pub struct Stamp<'a> {
+pub struct TargetHeaders<'a> {
     /// The instance that must answer the request; any other declines it.
     pub instance: &'a str,
     /// Time left for the request.
@@ -83,25 +83,25 @@
     const READINESS: &'static str;
 
     /// Reads what a caller says about its request.
-    fn facts(headers: &HeaderMap) -> Facts;
+    fn request_info(headers: &HeaderMap) -> RequestInfo;
 
     /// Sets the headers that only the gateway may set, in place of whatever the caller sent.
-    fn stamp(headers: &mut HeaderMap, stamp: &Stamp<'_>);
+    fn set_target_headers(headers: &mut HeaderMap, stamp: &TargetHeaders<'_>);
 
     /// Reads the headers of a target's response.
     fn reply(status: StatusCode, headers: &HeaderMap) -> Reply;
 
     /// The failure domain of a caller that asks for the addresses of entries; `None` where the
     /// request is not such a query.
-    fn asks_entries(path: &str, query: &str) -> Option<SmolStr>;
+    fn entries_query(path: &str, query: &str) -> Option<SmolStr>;
 
     /// Encodes the answer to such a query, with entries in the order in which to use them.
-    fn entries(entries: &[Entry], ttl: Duration) -> Vec<u8>;
+    fn encode_entries(entries: &[Entry], ttl: Duration) -> Vec<u8>;
 }
 
 /// What is listed and watched at the registry.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum What {
+pub enum Resource {
     /// The operators' configuration text, and cordons.
     #[display("text")]
     Text,
@@ -147,17 +147,17 @@
     fn era(headers: &HeaderMap) -> Option<u64>;
 
     /// The path and query of a list call, for the page that begins at `after`.
-    fn list(what: What, after: Option<&str>) -> String;
+    fn list_path(resource: Resource, after: Option<&str>) -> String;
 
     /// The path and query of a watch call, which waits up to `wait` for changes after revision
     /// `since`.
-    fn watch(what: What, since: u64, wait: Duration) -> String;
+    fn watch_path(resource: Resource, since: u64, wait: Duration) -> String;
 
     /// Decodes the reply to a list call.
-    fn page(what: What, body: &[u8]) -> Result<Page, DecodeError>;
+    fn decode_list(resource: Resource, body: &[u8]) -> Result<Page, DecodeError>;
 
     /// Decodes the reply to a watch call.
-    fn news(what: What, body: &[u8]) -> Result<Page, DecodeError>;
+    fn decode_watch(resource: Resource, body: &[u8]) -> Result<Page, DecodeError>;
 }
 
 /// An HTTP call to an engine.
@@ -191,24 +191,24 @@
 }
 
 /// Calls to engines other than requests of callers.
-pub trait Engines: 'static {
+pub trait EngineApi: 'static {
     /// Copies a run's memory to another engine; with `last` the run is stopped first.
     fn move_run(request: &str, to: SocketAddr, last: bool) -> Call;
 
     /// Frees a copy that no run resumes from, at the engine that made or holds it.
-    fn drop_copy(name: &str) -> Call;
+    fn delete_copy(name: &str) -> Call;
 
     /// Requests an engine's report on its own state.
     fn report() -> Call;
 
     /// Whether an engine's report says that it drains.
-    fn leaves(status: StatusCode, body: &[u8]) -> bool;
+    fn is_draining(status: StatusCode, body: &[u8]) -> bool;
 
     /// Decodes the reply to a move.
-    fn moved(status: StatusCode, body: &[u8]) -> Moved;
+    fn decode_move(status: StatusCode, body: &[u8]) -> Moved;
 }
 
 /// The whole wire format of a deployment.
-pub trait Platform: Dialect + Registry + Engines {}
+pub trait Platform: Dialect + Registry + EngineApi {}
 
-impl<T: Dialect + Registry + Engines> Platform for T {}
+impl<T: Dialect + Registry + EngineApi> Platform for T {}
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -9,7 +9,7 @@
 use ntex::http::HeaderMap;
 
 use crate::connection::exchange::{self, Failure, Outgoing, Response};
-use crate::platform::{Copy, Platform, Stamp};
+use crate::platform::{Copy, Platform, TargetHeaders};
 use crate::process::state::millis;
 use crate::request::{Inquiry, URGENCY, Worker, broken};
 
@@ -117,7 +117,7 @@
         return Err(Ended::Unsent(CORDONED));
     }
     let left = inquiry.left(worker.process.clock.now());
-    let stamp = Stamp {
+    let stamp = TargetHeaders {
         instance: &target.instance,
         left,
         workspace: inquiry.label.as_deref(),
@@ -158,9 +158,9 @@
     Ok(Begun { response, sent })
 }
 
-fn stamped<P: Platform>(headers: &HeaderMap, stamp: &Stamp<'_>) -> HeaderMap {
+fn stamped<P: Platform>(headers: &HeaderMap, stamp: &TargetHeaders<'_>) -> HeaderMap {
     let mut headers = headers.clone();
-    P::stamp(&mut headers, stamp);
+    P::set_target_headers(&mut headers, stamp);
     headers
 }
 
--- a/crates/gateway/src/request/entries.rs
+++ b/crates/gateway/src/request/entries.rs
@@ -19,7 +19,7 @@
 /// Answers with the entries that take callers now.
 pub(crate) fn answer<P: Platform>(fleet: &Fleet, request: &Request) -> Response {
     let query = request.uri().query().unwrap_or("");
-    let Some(domain) = P::asks_entries(request.path(), query) else {
+    let Some(domain) = P::entries_query(request.path(), query) else {
         return Response::NotFound().finish();
     };
     let mut members = fleet.ready();
@@ -33,6 +33,6 @@
     if entries.is_empty() {
         return Response::ServiceUnavailable().finish();
     }
-    let body = P::entries(&entries, TTL.min(fleet.entries_ttl()));
+    let body = P::encode_entries(&entries, TTL.min(fleet.entries_ttl()));
     Response::Ok().content_type("application/json").body(body)
 }
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -32,7 +32,7 @@
 use ntex::util::{Bytes, BytesMut};
 use smol_str::SmolStr;
 
-use crate::platform::{Facts, Platform};
+use crate::platform::{Platform, RequestInfo};
 use crate::process::fleet::Fleet;
 use crate::process::lane::Lane;
 use crate::process::state::{Process, millis};
@@ -71,7 +71,7 @@
 
 /// A request that may be served, with what was found out about it.
 pub(crate) struct Inquiry {
-    pub(crate) facts: Facts,
+    pub(crate) facts: RequestInfo,
     pub(crate) table: Arc<Table>,
     pub(crate) route: Route,
     pub(crate) service: Service,
@@ -176,7 +176,7 @@
     mut request: Request,
     arrived: Time,
 ) -> Result<Inquiry, Response> {
-    let facts = P::facts(request.headers());
+    let facts = P::request_info(request.headers());
     worker.process.wait_for_initial_sync().await;
     let Some(table) = worker.process.table() else {
         return Err(refuse::not_ready(&facts.request));
--- a/crates/gateway/src/request/relocate.rs
+++ b/crates/gateway/src/request/relocate.rs
@@ -118,7 +118,7 @@
     first: SmolStr,
     kept: Kept,
 ) -> Result<Relocated, Ended> {
-    let call = Some(P::drop_copy(&first));
+    let call = Some(P::delete_copy(&first));
     let unused = Unused { call, from: from.address, to: to.address };
     let relocated = |name, unused| {
         let copy = Copy { at: from.address, name };
@@ -153,7 +153,7 @@
         let call = P::move_run(&inquiry.facts.request, to, last);
         let called = exchange::call(from.address, outgoing(call), MOVE_TIMEOUT, MAX_REPLY).await;
         let (status, body): (StatusCode, Bytes) = called.map_err(|error| broken(&error))?;
-        match P::moved(status, &body) {
+        match P::decode_move(status, &body) {
             Moved::Copied { name } => return Ok(name),
             Moved::Busy => sleep(BUSY_PAUSE).await,
             Moved::NoRun => return Err(Ended::Unknown("no run")),
--- a/crates/gateway/src/version/engine_poll.rs
+++ b/crates/gateway/src/version/engine_poll.rs
@@ -67,7 +67,7 @@
                 return;
             }
         };
-    if !P::leaves(status, &body) {
+    if !P::is_draining(status, &body) {
         return;
     }
     let since = process.targets_position();
--- a/crates/gateway/src/version/watcher.rs
+++ b/crates/gateway/src/version/watcher.rs
@@ -23,7 +23,7 @@
 use smol_str::SmolStr;
 
 use crate::connection::exchange::{self, Failure, Outgoing};
-use crate::platform::{DecodeError, Item, Page, Platform, What};
+use crate::platform::{DecodeError, Item, Page, Platform, Resource};
 use crate::process::fleet::Fleet;
 use crate::process::state::{MEMBERSHIP_SETTLE_TIME, Process, millis};
 use crate::version::history::History;
@@ -97,7 +97,7 @@
         true => Bootstrap::seed(now),
         false => Bootstrap::member(now, rand::random()),
     };
-    for resource in [What::Text, What::Targets] {
+    for resource in [Resource::Text, Resource::Targets] {
         let watcher = Watcher {
             history: History::open(process),
             bootstrap,
@@ -137,7 +137,7 @@
     process: Arc<Process>,
     fleet: Arc<Fleet>,
     address: SocketAddr,
-    resource: What,
+    resource: Resource,
     failures: usize,
     /// When the latest call began.
     called_at: Time,
@@ -174,15 +174,15 @@
 
     fn is_initialized(&self) -> bool {
         match self.resource {
-            What::Text => self.process.revision() > 0 && self.process.knows_cordons(),
-            What::Targets => self.process.has_target_list(),
+            Resource::Text => self.process.revision() > 0 && self.process.knows_cordons(),
+            Resource::Targets => self.process.has_target_list(),
         }
     }
 
     fn peers(&self) -> Peers {
         match self.resource {
-            What::Text => self.fleet.peers(|beat| beat.text > 0 && beat.cordons.is_some()),
-            What::Targets => self.fleet.peers(|beat| beat.targets.is_some()),
+            Resource::Text => self.fleet.peers(|beat| beat.text > 0 && beat.cordons.is_some()),
+            Resource::Targets => self.fleet.peers(|beat| beat.targets.is_some()),
         }
     }
 
@@ -225,7 +225,7 @@
                 Ok((_, page)) => {
                     at = at.max(Position::new(at.era(), page.revision));
                     self.apply_changes(at, page);
-                    if self.resource == What::Targets {
+                    if self.resource == Resource::Targets {
                         sleep(self.min_watch_interval()).await;
                     }
                 }
@@ -252,14 +252,14 @@
             return false;
         }
         match self.resource {
-            What::Targets => {
+            Resource::Targets => {
                 let covered = self.fleet.watcher().is_none();
                 if covered {
                     self.process.set_watching(false);
                 }
                 covered
             }
-            What::Text => self.fleet.is_standby() && self.fleet.is_covered(),
+            Resource::Text => self.fleet.is_standby() && self.fleet.is_covered(),
         }
     }
 
@@ -291,9 +291,9 @@
         let mut first = None;
         let mut items = Vec::new();
         loop {
-            let path = P::list(self.resource, after.as_deref());
+            let path = P::list_path(self.resource, after.as_deref());
             let reply = self.call::<P>(path, LIST_TIMEOUT).await?;
-            let page = P::page(self.resource, &reply.body).map_err(CallError::Decode)?;
+            let page = P::decode_list(self.resource, &reply.body).map_err(CallError::Decode)?;
             // Pages are no snapshot: what changes between them is in the changes after the first
             // page.
             let position = self.history.resolve_position(reply.era, page.revision);
@@ -319,18 +319,18 @@
             // A registry that was away may have been restored from an older copy and have used the
             // revision again. A watch that waits would show that only at its end.
             _ if self.failures > 0 => Duration::ZERO,
-            What::Targets => TARGETS_WATCH_WAIT,
+            Resource::Targets => TARGETS_WATCH_WAIT,
             // Entries that watch targets always use the short wait for texts. If all entries used
             // the long one and their connections to the registry fell silent together, a new text
             // would be in force nowhere for half a minute.
-            What::Text if self.fleet.is_covered() && self.fleet.watcher().is_none() => {
+            Resource::Text if self.fleet.is_covered() && self.fleet.watcher().is_none() => {
                 COVERED_WATCH_WAIT
             }
-            What::Text => WATCH_WAIT,
+            Resource::Text => WATCH_WAIT,
         };
-        let path = P::watch(self.resource, revision, wait);
+        let path = P::watch_path(self.resource, revision, wait);
         let reply = self.call::<P>(path, wait + WATCH_SLACK).await?;
-        let page = P::news(self.resource, &reply.body).map_err(CallError::Decode)?;
+        let page = P::decode_watch(self.resource, &reply.body).map_err(CallError::Decode)?;
         let position = self.history.resolve_position(reply.era, page.revision);
         self.record_success();
         Ok((position.era(), page))
@@ -338,7 +338,7 @@
 
     /// Records that a call succeeded.
     fn record_success(&mut self) {
-        if self.resource == What::Targets {
+        if self.resource == Resource::Targets {
             if self.failures > 0 {
                 self.process.start_lease_grace();
             }
@@ -357,7 +357,7 @@
         }
         self.failures += 1;
         self.process.set_registry_available(false);
-        if self.resource == What::Targets {
+        if self.resource == Resource::Targets {
             self.process.set_watching(false);
         }
         sleep(backoff::delay(self.fleet.part(), self.failures, rand::random())).await;
@@ -367,14 +367,14 @@
     fn apply_list(&self, at: Position, items: Vec<Result<Item, DecodeError>>) {
         let changes = self.apply_texts(items);
         let changed = match self.resource {
-            What::Text => {
+            Resource::Text => {
                 let set = changes.cordons.into_iter().filter_map(|change| match change {
                     cordon::Change::Set(domain) => Some(domain),
                     cordon::Change::Lifted(_) => None,
                 });
                 self.process.apply_cordon_list(at, set.collect()) || changes.adopted
             }
-            What::Targets => {
+            Resource::Targets => {
                 let put = changes.targets.into_iter().filter_map(|change| match change {
                     Change::Put(target) => Some(target),
                     Change::Gone(_) => None,
@@ -397,8 +397,8 @@
         if !news.is_empty() {
             self.fleet.share_changes(since, news);
         }
-        let cordoned =
-            self.resource == What::Text && self.process.apply_cordon_changes(at, &changes.cordons);
+        let cordoned = self.resource == Resource::Text
+            && self.process.apply_cordon_changes(at, &changes.cordons);
         if changes.adopted || cordoned {
             self.fleet.beat();
         }
