--- a/crates/gateway/src/native.rs
+++ b/crates/gateway/src/native.rs
@@ -26,32 +26,32 @@
 /// Milliseconds left for a request.
 pub const TIMEOUT_HEADER: &str = "fireflyhoist-timeout-ms";
 /// Number of tokens in the prompt.
-pub const PROMPT_HEADER: &str = "fireflyhoist-prompt-tokens";
+pub const PROMPT_TOKENS_HEADER: &str = "fireflyhoist-prompt-tokens";
 /// Most tokens that the answer may have.
-pub const LIMIT_HEADER: &str = "fireflyhoist-max-tokens";
+pub const MAX_TOKENS_HEADER: &str = "fireflyhoist-max-tokens";
 /// The caller's estimate of the tokens in the answer.
-pub const GUESS_HEADER: &str = "fireflyhoist-expected-tokens";
+pub const EXPECTED_TOKENS_HEADER: &str = "fireflyhoist-expected-tokens";
 /// The instance that must answer the request; any other declines it.
 pub const INSTANCE_HEADER: &str = "fireflyhoist-instance";
 /// Rank in the engine's queue; 0 goes first.
-pub const URGENCY_HEADER: &str = "fireflyhoist-rank";
+pub const RANK_HEADER: &str = "fireflyhoist-rank";
 /// Address of the engine that keeps a copy of the run.
 pub const BACKUP_HEADER: &str = "fireflyhoist-backup";
 /// `ADDRESS/NAME` of the copy from which the run resumes.
 pub const COPY_HEADER: &str = "fireflyhoist-copy";
 /// Requests a second that an overloaded target accepts from all entries together.
-pub const TAKES_HEADER: &str = "fireflyhoist-takes-per-s";
+pub const RATE_LIMIT_HEADER: &str = "fireflyhoist-takes-per-s";
 /// Number of times the registry was restored from an older copy; set in all its replies.
 pub const ERA_HEADER: &str = "fireflyhoist-registry-era";
 /// Set by a target that did not run the request.
 pub const DECLINED_HEADER: &str = "fireflyhoist-declined";
 
 /// Headers that only an entry may set on a request to a target; those of callers are removed.
-const OWN: [&str; 7] = [
+const RESERVED_HEADERS: [&str; 7] = [
     "authorization",
     WORKSPACE_HEADER,
     INSTANCE_HEADER,
-    URGENCY_HEADER,
+    RANK_HEADER,
     BACKUP_HEADER,
     COPY_HEADER,
     TIMEOUT_HEADER,
@@ -71,20 +71,20 @@
             request: text(headers, REQUEST_HEADER).unwrap_or_default().into(),
             patience: number(headers, TIMEOUT_HEADER).map(Duration::from_millis),
             key: key.and_then(|key| key.strip_prefix("Bearer ")).map(SmolStr::from),
-            prompt: tokens(PROMPT_HEADER),
-            limit: tokens(LIMIT_HEADER),
-            guess: number(headers, GUESS_HEADER).map(Tokens::new),
+            prompt: tokens(PROMPT_TOKENS_HEADER),
+            limit: tokens(MAX_TOKENS_HEADER),
+            guess: number(headers, EXPECTED_TOKENS_HEADER).map(Tokens::new),
             last_event: number(headers, LAST_EVENT_HEADER),
         }
     }
 
     fn set_target_headers(headers: &mut HeaderMap, stamp: &TargetHeaders<'_>) {
-        for name in OWN {
+        for name in RESERVED_HEADERS {
             headers.remove(name);
         }
         set(headers, TIMEOUT_HEADER, &stamp.left.as_millis().to_string());
         set(headers, INSTANCE_HEADER, stamp.instance);
-        set(headers, URGENCY_HEADER, &stamp.urgency.to_string());
+        set(headers, RANK_HEADER, &stamp.urgency.to_string());
         if let Some(workspace) = stamp.workspace {
             set(headers, WORKSPACE_HEADER, workspace);
         }
@@ -104,7 +104,7 @@
             request: text(headers, REQUEST_HEADER).map(SmolStr::from),
             declined: headers.contains_key(DECLINED_HEADER),
             misdirected: status == StatusCode::MISDIRECTED_REQUEST,
-            limit: text(headers, TAKES_HEADER).map(Advertisement::parse).unwrap_or_default(),
+            limit: text(headers, RATE_LIMIT_HEADER).map(Advertisement::parse).unwrap_or_default(),
         }
     }
 
--- a/crates/gateway/tests/named_limits.rs
+++ b/crates/gateway/tests/named_limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fireflyhoist_gateway::Gateway;
-use fireflyhoist_gateway::native::TAKES_HEADER;
+use fireflyhoist_gateway::native::RATE_LIMIT_HEADER;
 use fireflyhoist_policy::route::{Kind, Route};
 use fireflyhoist_standin::registry::Registry;
 use parking_lot::Mutex;
@@ -46,7 +46,7 @@
         let script = move |_: &Seen| {
             noted.lock().push(Instant::now());
             let named = named.lock().clone();
-            let header = named.map(|limit| format!("{TAKES_HEADER}: {limit}\r\n"));
+            let header = named.map(|limit| format!("{RATE_LIMIT_HEADER}: {limit}\r\n"));
             vec![Step::Write(format!(
                 "HTTP/1.1 200 X\r\nfireflyhoist-request: r-1\r\n{}content-length: 2\r\n\r\nok",
                 header.unwrap_or_default()
--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fireflyhoist_gateway::native::{
-    BACKUP_HEADER, COPY_HEADER, Copied, INSTANCE_HEADER, Move, State, TAKES_HEADER,
+    BACKUP_HEADER, COPY_HEADER, Copied, INSTANCE_HEADER, Move, RATE_LIMIT_HEADER, State,
 };
 use fireflyhoist_policy::cold::Warmup;
 use fireflyhoist_policy::id;
@@ -197,7 +197,7 @@
                             let mut response = serve(Rc::clone(&shared), request).await;
                             if let Some(limit) = shared.limit.get() {
                                 let limit = limit.to_string().parse().expect("a number");
-                                response.headers_mut().insert(TAKES_HEADER, limit);
+                                response.headers_mut().insert(RATE_LIMIT_HEADER, limit);
                             }
                             let lost = shared.losing.get() && shared.engines.next() % 2 == 0;
                             if lost { Err(io::Error::other("lost")) } else { Ok(response) }
