--- a/crates/gateway/src/native.rs
+++ b/crates/gateway/src/native.rs
@@ -69,32 +69,32 @@
         let key = text(headers, AUTHORIZATION.as_str());
         RequestInfo {
             request: text(headers, REQUEST_HEADER).unwrap_or_default().into(),
-            patience: number(headers, TIMEOUT_HEADER).map(Duration::from_millis),
+            timeout: number(headers, TIMEOUT_HEADER).map(Duration::from_millis),
             key: key.and_then(|key| key.strip_prefix("Bearer ")).map(SmolStr::from),
-            prompt: tokens(PROMPT_TOKENS_HEADER),
-            limit: tokens(MAX_TOKENS_HEADER),
-            guess: number(headers, EXPECTED_TOKENS_HEADER).map(Tokens::new),
+            prompt_tokens: tokens(PROMPT_TOKENS_HEADER),
+            max_tokens: tokens(MAX_TOKENS_HEADER),
+            expected_tokens: number(headers, EXPECTED_TOKENS_HEADER).map(Tokens::new),
             last_event: number(headers, LAST_EVENT_HEADER),
         }
     }
 
-    fn set_target_headers(headers: &mut HeaderMap, stamp: &TargetHeaders<'_>) {
+    fn set_target_headers(headers: &mut HeaderMap, values: &TargetHeaders<'_>) {
         for name in RESERVED_HEADERS {
             headers.remove(name);
         }
-        set(headers, TIMEOUT_HEADER, &stamp.left.as_millis().to_string());
-        set(headers, INSTANCE_HEADER, stamp.instance);
-        set(headers, RANK_HEADER, &stamp.urgency.to_string());
-        if let Some(workspace) = stamp.workspace {
+        set(headers, TIMEOUT_HEADER, &values.timeout.as_millis().to_string());
+        set(headers, INSTANCE_HEADER, values.instance);
+        set(headers, RANK_HEADER, &values.rank.to_string());
+        if let Some(workspace) = values.workspace {
             set(headers, WORKSPACE_HEADER, workspace);
         }
-        if let Some(backup) = stamp.backup {
+        if let Some(backup) = values.backup {
             set(headers, BACKUP_HEADER, &backup.to_string());
         }
-        if let Some(Copy { at, name }) = stamp.copy {
+        if let Some(Copy { at, name }) = values.copy {
             set(headers, COPY_HEADER, &format!("{at}/{name}"));
         }
-        if let Some(last) = stamp.last_event {
+        if let Some(last) = values.last_event {
             set(headers, LAST_EVENT_HEADER, &last.to_string());
         }
     }
@@ -189,7 +189,7 @@
 
 /// The part of an engine's reply to `GET /v1/report` that a gateway reads.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct State {
+pub struct Report {
     /// Whether the engine will stop soon.
     #[serde(default)]
     pub leaving: bool,
@@ -211,8 +211,8 @@
     }
 
     fn is_draining(status: StatusCode, body: &[u8]) -> bool {
-        let state: State = serde_json::from_slice(body).unwrap_or_default();
-        status == StatusCode::OK && state.leaving
+        let report: Report = serde_json::from_slice(body).unwrap_or_default();
+        status == StatusCode::OK && report.leaving
     }
 
     fn decode_move(status: StatusCode, body: &[u8]) -> Moved {
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -22,16 +22,16 @@
     /// The caller's id of this attempt.
     pub request: SmolStr,
     /// How long the caller waits for the answer.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's API key.
     pub key: Option<SmolStr>,
     /// Number of tokens in the prompt; zero where the request is no generation.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Most tokens that the answer may have; zero where the request is no generation.
-    pub limit: Tokens,
+    pub max_tokens: Tokens,
     /// The caller's estimate of the tokens in the answer: right at the median, often far off for a
     /// single request.
-    pub guess: Option<Tokens>,
+    pub expected_tokens: Option<Tokens>,
     /// The last event that the caller received on an earlier attempt.
     pub last_event: Option<u64>,
 }
@@ -51,7 +51,7 @@
     /// The instance that must answer the request; any other declines it.
     pub instance: &'a str,
     /// Time left for the request.
-    pub left: Duration,
+    pub timeout: Duration,
     /// The workspace under the name that targets know.
     pub workspace: Option<&'a str>,
     /// The engine that keeps a copy of the run while it grows.
@@ -61,7 +61,7 @@
     /// The last event that was delivered to the caller.
     pub last_event: Option<u64>,
     /// Rank in the engine's queue; 0 goes first.
-    pub urgency: u8,
+    pub rank: u8,
 }
 
 /// What a target's response says about the request.
@@ -82,17 +82,17 @@
     /// The path of the readiness check.
     const READINESS: &'static str;
 
-    /// Reads what a caller says about its request.
+    /// Reads the headers of a caller's request.
     fn request_info(headers: &HeaderMap) -> RequestInfo;
 
     /// Sets the headers that only the gateway may set, in place of whatever the caller sent.
-    fn set_target_headers(headers: &mut HeaderMap, stamp: &TargetHeaders<'_>);
+    fn set_target_headers(headers: &mut HeaderMap, values: &TargetHeaders<'_>);
 
     /// Reads the headers of a target's response.
     fn reply(status: StatusCode, headers: &HeaderMap) -> Reply;
 
-    /// The failure domain of a caller that asks for the addresses of entries; `None` where the
-    /// request is not such a query.
+    /// The failure domain of a caller that asks for the addresses of entries, empty where it names
+    /// none; `None` where the request is not such a query.
     fn entries_query(path: &str, query: &str) -> Option<SmolStr>;
 
     /// Encodes the answer to such a query, with entries in the order in which to use them.
@@ -105,7 +105,7 @@
     /// The operators' configuration text, and cordons.
     #[display("text")]
     Text,
-    /// Targets.
+    /// The targets.
     #[display("targets")]
     Targets,
 }
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{what}; the registry must write what this release reads")]
 pub struct DecodeError {
-    /// What is wrong.
+    /// What is wrong with it.
     pub what: String,
 }
 
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -119,12 +119,12 @@
     let left = inquiry.left(worker.process.clock.now());
     let stamp = TargetHeaders {
         instance: &target.instance,
-        left,
+        timeout: left,
         workspace: inquiry.label.as_deref(),
         backup: extra.backup,
         copy: extra.copy.as_ref(),
         last_event: extra.last_event.or(inquiry.facts.last_event),
-        urgency: URGENCY,
+        rank: URGENCY,
     };
     let outgoing = Outgoing {
         method: inquiry.method.clone(),
--- a/crates/gateway/src/request/carry.rs
+++ b/crates/gateway/src/request/carry.rs
@@ -46,7 +46,7 @@
 
 /// Tokens that an answer is expected to hold: its caller's guess, or the most that it asked for.
 pub(crate) fn expected(inquiry: &Inquiry) -> Tokens {
-    inquiry.facts.guess.unwrap_or(inquiry.facts.limit)
+    inquiry.facts.expected_tokens.unwrap_or(inquiry.facts.max_tokens)
 }
 
 /// The engine that keeps a copy of an answer's memory as it grows.
@@ -72,7 +72,7 @@
         let refuges = pass.refuges(&near, Some(BACKUP_RESERVE));
         let refuge = refuges.into_iter().find(|refuge| refuge != at)?;
         let target = worker.process.target(&refuge)?;
-        let kept = Kept::open(&worker.process, &target.id, inquiry.facts.prompt.get());
+        let kept = Kept::open(&worker.process, &target.id, inquiry.facts.prompt_tokens.get());
         Some(Self { kept, listed: target })
     }
 
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -107,14 +107,14 @@
         let workspace = self.workspace.clone().unwrap_or_else(nobody);
         let class = if carry::is_long(self) { Class::Overnight } else { Class::Live };
         let (class, limit) = match self.route.kind.is_stream() && self.service.engine.is_some() {
-            true => (class, self.facts.limit),
+            true => (class, self.facts.max_tokens),
             false => (Class::Lookup, Default::default()),
         };
         gate::Request {
             id: id::Request::new(rand::random()),
             workspace,
             class,
-            prompt: self.facts.prompt,
+            prompt: self.facts.prompt_tokens,
             limit,
             prefix: fireflyhoist_policy::placement::NO_PREFIX,
             objective: self.objective,
@@ -211,7 +211,7 @@
     let (Some(service), Some(lane)) = (service, lane) else {
         return Err(refuse::no_target(&facts.request));
     };
-    let patience = facts.patience.unwrap_or(PATIENCE).min(route.timeout);
+    let patience = facts.timeout.unwrap_or(PATIENCE).min(route.timeout);
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let workspace_id = workspace.as_ref().map(|workspace| &workspace.id);
     let print = Fingerprint::of(workspace_id, &path, &body);
--- a/crates/gateway/src/request/pump.rs
+++ b/crates/gateway/src/request/pump.rs
@@ -293,7 +293,7 @@
 
     /// Tokens in the answer's memory.
     fn held(&self) -> Tokens {
-        Tokens::new(self.inquiry.facts.prompt.get() + self.produced())
+        Tokens::new(self.inquiry.facts.prompt_tokens.get() + self.produced())
     }
 
     fn produced(&self) -> u64 {
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use fireflyhoist_gateway::native::{Copied, Move, State};
+use fireflyhoist_gateway::native::{Copied, Move, Report};
 use fireflyhoist_policy::lease::{Start, Target};
 use fireflyhoist_policy::route::Kind;
 use fireflyhoist_standin::registry::{Mood, Registry};
@@ -334,7 +334,7 @@
         let script = move |seen: &Seen| {
             if seen.line().starts_with("GET /v1/report") {
                 let leaving = leaving.lock().as_deref() == Some(name);
-                return answer(200, &serde_json::to_string(&State { leaving }).expect("JSON"));
+                return answer(200, &serde_json::to_string(&Report { leaving }).expect("JSON"));
             }
             if seen.line().starts_with("POST /v1/runs/r-1/move") {
                 let asked: Move = serde_json::from_str(&seen.body).expect("a move");
--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fireflyhoist_gateway::native::{
-    BACKUP_HEADER, COPY_HEADER, Copied, INSTANCE_HEADER, Move, RATE_LIMIT_HEADER, State,
+    BACKUP_HEADER, COPY_HEADER, Copied, INSTANCE_HEADER, Move, RATE_LIMIT_HEADER, Report,
 };
 use fireflyhoist_policy::cold::Warmup;
 use fireflyhoist_policy::id;
@@ -266,7 +266,7 @@
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.split('/').collect();
     match parts[..] {
-        ["", "v1", "report"] => return json(&State { leaving: shared.leaving.get() }),
+        ["", "v1", "report"] => return json(&Report { leaving: shared.leaving.get() }),
         ["", "v1", "copies", name] => {
             let key = format!("{}/{name}", shared.address);
             shared.engines.copies.borrow_mut().remove(&key);
