--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -65,7 +65,7 @@
     seeds: RwLock<Vec<std::net::SocketAddr>>,
     table: RwLock<Option<Arc<Table>>>,
     lanes: RwLock<HashMap<id::Service, Arc<Lane>>>,
-    /// Active entries in the order in which they send to targets.
+    /// The active entries, which stagger their requests to an engine that has joined.
     order: Mutex<Order>,
     leases: Mutex<Leases>,
     /// Cordoned failure domains; their targets get no new requests.
@@ -197,7 +197,8 @@
         }
     }
 
-    /// Sets the order of the active entries and passes it to the lanes.
+    /// Sets the active entries among which requests to a joined engine are staggered, and passes
+    /// them to the lanes.
     pub(crate) fn set_order(&self, order: Order) {
         let mut known = self.order.lock();
         if *known == order {
@@ -284,7 +285,7 @@
         self.registry_available.load(Ordering::Acquire)
     }
 
-    /// Records the registry's era, as the registry or peers report it: the number of times it was
+    /// Raises the registry's era, as the registry or peers report it: the number of times it was
     /// restored from an older copy. Returns whether the era is new here.
     pub(crate) fn raise_era(&self, era: u64, source: &str) -> bool {
         let before = self.era.fetch_max(era, Ordering::AcqRel);
@@ -329,7 +330,7 @@
 
     /// How long the process has been leaving and how long it may still run; `None` where it does
     /// not leave.
-    pub(crate) fn leaving(&self) -> Option<(Duration, Duration)> {
+    pub(crate) fn leave_times(&self) -> Option<(Duration, Duration)> {
         let since = self.clock.now().since(*self.leaving_since.get()?);
         Some((since, self.bounds().grace().saturating_sub(since)))
     }
@@ -361,7 +362,7 @@
         let _ = timeout(INITIAL_SYNC_TIMEOUT, synced).await;
     }
 
-    /// Whether there has been no request for [`IDLE_AFTER`].
+    /// Whether no request is open and none has arrived for [`IDLE_AFTER`].
     pub(crate) fn is_idle(&self) -> bool {
         self.open_requests() == 0
             && self.clock.now().since(*self.latest_request.lock()) >= IDLE_AFTER
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -15,6 +15,7 @@
 use crate::process::state::Process;
 
 impl Process {
+    /// Lets lanes act on the time and drops targets and cordons that have expired.
     pub(crate) fn poll_lanes(&self) {
         self.lanes.read().values().for_each(|lane| lane.poll());
         let now = self.clock.now();
@@ -123,6 +124,7 @@
         left.map(Change::Put)
     }
 
+    /// Starts the grace time of leases after an outage of the registry.
     pub(crate) fn start_lease_grace(&self) {
         self.leases.lock().start_grace(self.clock.now());
     }
@@ -143,6 +145,7 @@
         near.map(|target| target.id.clone()).collect()
     }
 
+    /// The targets and the position of their list.
     pub(crate) fn targets(&self) -> (Position, Vec<Target>) {
         let leases = self.leases.lock();
         (leases.position(), leases.snapshot(self.clock.now()))
--- a/crates/gateway/src/process/state/usage.rs
+++ b/crates/gateway/src/process/state/usage.rs
@@ -16,9 +16,9 @@
     /// copy.
     pub(crate) fn replace_copy_tokens(&self, target: &id::Target, before: u64, after: u64) {
         let mut copies = self.copies.lock();
-        let kept = copies.entry(target.clone()).or_default();
-        *kept = (*kept + after).saturating_sub(before);
-        if *kept == 0 {
+        let tokens = copies.entry(target.clone()).or_default();
+        *tokens = (*tokens + after).saturating_sub(before);
+        if *tokens == 0 {
             copies.remove(target);
         }
     }
@@ -37,7 +37,7 @@
         sum(held.iter())
     }
 
-    /// Memory that this entry and the other entries selected by `with` use at each target.
+    /// Memory that this entry and the other entries selected by `is_included` use at each target.
     pub(crate) fn usage_with(&self, is_included: impl Fn(&id::Host) -> bool) -> Vec<Held> {
         let own = self.own_usage();
         let others = self.peer_usage.lock();
@@ -68,14 +68,14 @@
     /// Passes the memory that all entries together use at each engine to the lanes.
     pub(crate) fn report_usage(&self) {
         let Some(table) = self.table() else { return };
-        let mut sums: HashMap<id::Target, Usage> = HashMap::new();
+        let mut usages: HashMap<id::Target, Usage> = HashMap::new();
         for held in &self.own_usage() {
-            sums.entry(held.target.clone()).or_default().add(held);
+            usages.entry(held.target.clone()).or_default().add(held);
         }
         for held in self.peer_usage.lock().values().flatten() {
-            let sum = sums.entry(held.target.clone()).or_default();
-            sum.add(held);
-            sum.others_unread += held.unread.get();
+            let usage = usages.entry(held.target.clone()).or_default();
+            usage.add(held);
+            usage.others_unread += held.unread.get();
         }
         for service in &table.text().services {
             let (Some(engine), Some(lane)) = (&service.engine, self.lane(&service.name)) else {
@@ -85,11 +85,11 @@
             let views: Vec<View> = leases
                 .ready(&service.name)
                 .map(|target| {
-                    let sum = sums.get(&target.id).copied().unwrap_or_default();
-                    let (capacity, used) = (engine.memory, Tokens::new(sum.tokens));
+                    let usage = usages.get(&target.id).copied().unwrap_or_default();
+                    let (capacity, used) = (engine.memory, Tokens::new(usage.tokens));
                     let report =
-                        Report { capacity, used, running: sum.streams, ..Report::default() };
-                    let unread = Tokens::new(sum.others_unread);
+                        Report { capacity, used, running: usage.streams, ..Report::default() };
+                    let unread = Tokens::new(usage.others_unread);
                     View { target: target.id.clone(), report, unread }
                 })
                 .collect();
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -57,7 +57,7 @@
 
 /// When to come back where this entry leaves and the answer would not end here.
 fn sent_away(worker: &Worker, inquiry: &Inquiry) -> Option<Duration> {
-    let (since, left) = worker.process.leaving()?;
+    let (since, left) = worker.process.leave_times()?;
     let others = worker.fleet.has_others();
     let situation = State {
         peers_accept: others,
