--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -45,7 +45,7 @@
     pub name: SmolStr,
 }
 
-/// What the gateway tells a target about a request in headers.
+/// What the headers say that the gateway sets on a request to a target.
 #[derive(Clone, Debug)]
 pub struct TargetHeaders<'a> {
     /// The instance that must answer the request; any other declines it.
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -101,15 +101,15 @@
     /// Applies changes of targets; returns those that were new.
     pub(crate) fn apply_target_changes(&self, at: Position, changes: Vec<Change>) -> Vec<Change> {
         let now = self.clock.now();
-        let news = self.leases.lock().apply_changes(now, at, changes);
-        for change in &news {
+        let new = self.leases.lock().apply_changes(now, at, changes);
+        for change in &new {
             let line = describe(change);
             ::log::info!(revision:% = at, change = line.as_str(); "target changed");
         }
-        if !news.is_empty() {
+        if !new.is_empty() {
             self.refresh_lanes();
         }
-        news
+        new
     }
 
     /// Marks a target as draining because it says so itself; returns the change for other entries,
--- a/crates/gateway/src/version/engine_poll.rs
+++ b/crates/gateway/src/version/engine_poll.rs
@@ -1,10 +1,10 @@
-//! Polls engines for whether they drain while the registry cannot be read.
+//! Polls engines for whether they drain while the registry is unavailable.
 //!
-//! Engines may be taken back while the registry is away. Their notice can then be read nowhere, and
-//! every answer on them is cut two seconds later; with a registry that is away for eight seconds, a
-//! seventh of all long answers were cut every 3.3 s. An engine itself knows that it drains. It is
-//! polled only while neither this entry nor any entry linked to it watches targets, only where
-//! answers of this entry run, and only where other engines have room for these answers.
+//! If engines are reclaimed during an outage of the registry, their drain notice cannot be read
+//! there, and every answer on them is cut two seconds later. In an outage of eight seconds that was
+//! a seventh of all long answers every 3.3 s. An engine itself knows that it drains. It is polled
+//! only while neither this entry nor any entry linked to it watches targets, only where answers of
+//! this entry run, and only where other engines have room for these answers.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gateway/src/version/watcher.rs
+++ b/crates/gateway/src/version/watcher.rs
@@ -52,7 +52,7 @@
 /// Time after the wait of a watch within which its reply must begin.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
-/// Least time between two watches of targets. Where engines are taken back together, several
+/// Least time between two watches of targets. Where engines are reclaimed together, several
 /// targets change within some hundred milliseconds, the first change ends a watch, and every call
 /// is paid for. Lease renewals alone end no watch.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(80);
@@ -64,7 +64,7 @@
 const MIN_SECOND_WATCH_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The least time for an entry without links and callers. Many entries that are cut off from the
-/// others would otherwise make ten calls a second each without serving anybody.
+/// others would otherwise make ten calls a second each without serving any caller.
 const MIN_IDLE_WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often an entry that has just started checks whether to read the registry.
@@ -128,6 +128,7 @@
     adopted: bool,
 }
 
+/// Watches one resource of the registry.
 struct Watcher {
     history: History,
     /// Decides when to read for the first time.
@@ -205,7 +206,7 @@
             if !self.is_initialized() {
                 return;
             }
-            // The wait is bounded: a change between the check above and the wait wakes nobody.
+            // The wait is bounded because a change between the check above and the wait is missed.
             let _ = timeout(STANDBY_POLL, self.fleet.changed()).await;
         }
     }
@@ -316,8 +317,8 @@
     /// Makes one watch call; returns the changes with the era of the reply.
     async fn watch_once<P: Platform>(&mut self, revision: u64) -> Result<(u64, Page), CallError> {
         let wait = match self.resource {
-            // A registry that was away may have been restored from an older copy and have used the
-            // revision again. A watch that waits would show that only at its end.
+            // After an outage the registry may have been restored from an older copy and have used
+            // the revision again. A watch that waits would show that only at its end.
             _ if self.failures > 0 => Duration::ZERO,
             Resource::Targets => TARGETS_WATCH_WAIT,
             // Entries that watch targets always use the short wait for texts. If all entries used
@@ -393,9 +394,9 @@
     fn apply_changes(&self, at: Position, page: Page) {
         let changes = self.apply_texts(page.items);
         let since = self.process.targets_position();
-        let news = self.process.apply_target_changes(at, changes.targets);
-        if !news.is_empty() {
-            self.fleet.share_changes(since, news);
+        let new = self.process.apply_target_changes(at, changes.targets);
+        if !new.is_empty() {
+            self.fleet.share_changes(since, new);
         }
         let cordoned = self.resource == Resource::Text
             && self.process.apply_cordon_changes(at, &changes.cordons);
