--- a/crates/gateway/src/native.rs
+++ b/crates/gateway/src/native.rs
@@ -1,6 +1,5 @@
-//! The product's own names on the wire, for deployments without a platform of their own.
-//!
-//! `docs/PROTOCOLS.md` has them for callers, targets and registries.
+//! The product's own wire format, for deployments without a platform of their own: what callers,
+//! targets and registries send and receive.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,82 +19,82 @@
 
 use crate::header::{number, set, text};
 use crate::platform::{
-    Call, Copy, DecodeError, Dialect, Engines, Facts, Item, Moved, Page, Registry, Reply, Stamp,
-    What,
+    Call, Copy, DecodeError, Dialect, EngineApi, Item, Moved, Page, Registry, Reply, RequestInfo,
+    Resource, TargetHeaders,
 };
 
-/// Milliseconds that are left for a request.
+/// Milliseconds left for a request.
 pub const TIMEOUT_HEADER: &str = "fireflyhoist-timeout-ms";
-/// Tokens of the prompt.
-pub const PROMPT_HEADER: &str = "fireflyhoist-prompt-tokens";
-/// The most tokens of the answer.
-pub const LIMIT_HEADER: &str = "fireflyhoist-max-tokens";
-/// The caller's guess at the tokens of the answer.
-pub const GUESS_HEADER: &str = "fireflyhoist-expected-tokens";
-/// The instance that must answer a request.
+/// Number of tokens in the prompt.
+pub const PROMPT_TOKENS_HEADER: &str = "fireflyhoist-prompt-tokens";
+/// Most tokens that the answer may have.
+pub const MAX_TOKENS_HEADER: &str = "fireflyhoist-max-tokens";
+/// The caller's estimate of the tokens in the answer.
+pub const EXPECTED_TOKENS_HEADER: &str = "fireflyhoist-expected-tokens";
+/// The instance that must answer the request; any other declines it.
 pub const INSTANCE_HEADER: &str = "fireflyhoist-instance";
-/// Rank at an engine.
-pub const URGENCY_HEADER: &str = "fireflyhoist-rank";
-/// The engine that keeps a copy of a run.
+/// Rank in the engine's queue; 0 goes first.
+pub const RANK_HEADER: &str = "fireflyhoist-rank";
+/// Address of the engine that keeps a copy of the run.
 pub const BACKUP_HEADER: &str = "fireflyhoist-backup";
-/// `ADDRESS/NAME` of the copy that a run goes on from.
+/// `ADDRESS/NAME` of the copy from which the run resumes.
 pub const COPY_HEADER: &str = "fireflyhoist-copy";
-/// Requests a second that a target in need takes, of all entries together.
-pub const TAKES_HEADER: &str = "fireflyhoist-takes-per-s";
-/// How often the registry has come back from an older copy, in all its answers.
+/// Requests a second that an overloaded target accepts from all entries together.
+pub const RATE_LIMIT_HEADER: &str = "fireflyhoist-takes-per-s";
+/// Number of times the registry was restored from an older copy; set in all its replies.
 pub const ERA_HEADER: &str = "fireflyhoist-registry-era";
-/// Set by a target that did not run a request.
+/// Set by a target that did not run the request.
 pub const DECLINED_HEADER: &str = "fireflyhoist-declined";
 
-/// What only an entry may say to a target.
-const OWN: [&str; 7] = [
+/// Headers that only an entry may set on a request to a target; those of callers are removed.
+const RESERVED_HEADERS: [&str; 7] = [
     "authorization",
     WORKSPACE_HEADER,
     INSTANCE_HEADER,
-    URGENCY_HEADER,
+    RANK_HEADER,
     BACKUP_HEADER,
     COPY_HEADER,
     TIMEOUT_HEADER,
 ];
 
-/// The product's own wire.
+/// The product's own wire format.
 #[derive(Clone, Copy, Debug)]
 pub enum Native {}
 
 impl Dialect for Native {
     const READINESS: &'static str = "/readyz";
 
-    fn facts(headers: &HeaderMap) -> Facts {
+    fn request_info(headers: &HeaderMap) -> RequestInfo {
         let tokens = |name| Tokens::new(number(headers, name).unwrap_or_default());
         let key = text(headers, AUTHORIZATION.as_str());
-        Facts {
+        RequestInfo {
             request: text(headers, REQUEST_HEADER).unwrap_or_default().into(),
-            patience: number(headers, TIMEOUT_HEADER).map(Duration::from_millis),
+            timeout: number(headers, TIMEOUT_HEADER).map(Duration::from_millis),
             key: key.and_then(|key| key.strip_prefix("Bearer ")).map(SmolStr::from),
-            prompt: tokens(PROMPT_HEADER),
-            limit: tokens(LIMIT_HEADER),
-            guess: number(headers, GUESS_HEADER).map(Tokens::new),
+            prompt_tokens: tokens(PROMPT_TOKENS_HEADER),
+            max_tokens: tokens(MAX_TOKENS_HEADER),
+            expected_tokens: number(headers, EXPECTED_TOKENS_HEADER).map(Tokens::new),
             last_event: number(headers, LAST_EVENT_HEADER),
         }
     }
 
-    fn stamp(headers: &mut HeaderMap, stamp: &Stamp<'_>) {
-        for name in OWN {
+    fn set_target_headers(headers: &mut HeaderMap, values: &TargetHeaders<'_>) {
+        for name in RESERVED_HEADERS {
             headers.remove(name);
         }
-        set(headers, TIMEOUT_HEADER, &stamp.left.as_millis().to_string());
-        set(headers, INSTANCE_HEADER, stamp.instance);
-        set(headers, URGENCY_HEADER, &stamp.urgency.to_string());
-        if let Some(workspace) = stamp.workspace {
+        set(headers, TIMEOUT_HEADER, &values.timeout.as_millis().to_string());
+        set(headers, INSTANCE_HEADER, values.instance);
+        set(headers, RANK_HEADER, &values.rank.to_string());
+        if let Some(workspace) = values.workspace {
             set(headers, WORKSPACE_HEADER, workspace);
         }
-        if let Some(backup) = stamp.backup {
+        if let Some(backup) = values.backup {
             set(headers, BACKUP_HEADER, &backup.to_string());
         }
-        if let Some(Copy { at, name }) = stamp.copy {
+        if let Some(Copy { at, name }) = values.copy {
             set(headers, COPY_HEADER, &format!("{at}/{name}"));
         }
-        if let Some(last) = stamp.last_event {
+        if let Some(last) = values.last_event {
             set(headers, LAST_EVENT_HEADER, &last.to_string());
         }
     }
@@ -105,40 +104,40 @@
             request: text(headers, REQUEST_HEADER).map(SmolStr::from),
             declined: headers.contains_key(DECLINED_HEADER),
             misdirected: status == StatusCode::MISDIRECTED_REQUEST,
-            limit: text(headers, TAKES_HEADER).map(Advertisement::parse).unwrap_or_default(),
+            limit: text(headers, RATE_LIMIT_HEADER).map(Advertisement::parse).unwrap_or_default(),
         }
     }
 
-    fn asks_entries(path: &str, query: &str) -> Option<SmolStr> {
+    fn entries_query(path: &str, query: &str) -> Option<SmolStr> {
         let domain = query.split('&').find_map(|pair| pair.strip_prefix("domain="));
         (path == "/v1/entries").then(|| domain.unwrap_or_default().into())
     }
 
-    fn entries(members: &[Entry], ttl: Duration) -> Vec<u8> {
+    fn encode_entries(members: &[Entry], ttl: Duration) -> Vec<u8> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
         let entries = Entries { ttl_ms, entries: members.to_vec() };
         serde_json::to_vec(&entries).expect("names, addresses and a number are JSON")
     }
 }
 
-/// What a registry replies to a list or a watch.
+/// The reply of a registry to a list or watch call.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Listing {
-    /// The registry's revision.
+    /// The registry's revision at the time of the reply.
     pub revision: u64,
-    /// The text, where it was asked for or has changed.
+    /// The text, where it was requested or has changed.
     #[serde(default)]
     pub text: Option<Text>,
-    /// Targets that were written or are gone.
+    /// Targets that were written or removed.
     #[serde(default)]
     pub targets: Vec<lease::Change>,
-    /// Failure domains that were cordoned or are no more, with the text.
+    /// Failure domains that were cordoned or whose cordon was lifted; sent along with the text.
     #[serde(default)]
     pub cordons: Vec<cordon::Change>,
 }
 
 impl Listing {
-    fn page(body: &[u8]) -> Result<Page, DecodeError> {
+    fn decode(body: &[u8]) -> Result<Page, DecodeError> {
         let listing: Self = serde_json::from_slice(body)
             .map_err(|error| DecodeError { what: error.to_string() })?;
         let text = listing.text.into_iter().map(|text| Item::Text(Box::new(text)));
@@ -154,55 +153,55 @@
         number(headers, ERA_HEADER)
     }
 
-    fn list(what: What, _: Option<&str>) -> String {
+    fn list_path(what: Resource, _: Option<&str>) -> String {
         format!("/v1/registry/{what}")
     }
 
-    fn watch(what: What, since: u64, wait: Duration) -> String {
+    fn watch_path(what: Resource, since: u64, wait: Duration) -> String {
         format!("/v1/registry/{what}?since={since}&wait_ms={}", wait.as_millis())
     }
 
-    fn page(_: What, body: &[u8]) -> Result<Page, DecodeError> {
-        Listing::page(body)
+    fn decode_list(_: Resource, body: &[u8]) -> Result<Page, DecodeError> {
+        Listing::decode(body)
     }
 
-    fn news(_: What, body: &[u8]) -> Result<Page, DecodeError> {
-        Listing::page(body)
+    fn decode_watch(_: Resource, body: &[u8]) -> Result<Page, DecodeError> {
+        Listing::decode(body)
     }
 }
 
 /// The body of `POST /v1/runs/REQUEST/move`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Move {
-    /// The engine that takes the run.
+    /// The engine to move the run to.
     pub to: SocketAddr,
-    /// Whether the run stops first.
+    /// Whether the run stops before the copy, which is then the last one.
     pub last: bool,
 }
 
-/// The reply to a move.
+/// The reply to a move request.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Copied {
-    /// The copy's name at the engine that was asked.
+    /// The copy's name at the engine that was called.
     #[serde(default)]
     pub copy: Option<SmolStr>,
 }
 
-/// What a gateway reads of the reply to `GET /v1/report`.
+/// The part of an engine's reply to `GET /v1/report` that a gateway reads.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct State {
-    /// Whether the engine will end soon.
+pub struct Report {
+    /// Whether the engine will stop soon.
     #[serde(default)]
     pub leaving: bool,
 }
 
-impl Engines for Native {
+impl EngineApi for Native {
     fn move_run(request: &str, to: SocketAddr, last: bool) -> Call {
         let body = serde_json::to_vec(&Move { to, last }).expect("a move is JSON");
         Call { method: Method::POST, path: format!("/v1/runs/{request}/move"), body }
     }
 
-    fn drop_copy(name: &str) -> Call {
+    fn delete_copy(name: &str) -> Call {
         let path = format!("/v1/copies/{name}");
         Call { method: Method::DELETE, path, body: Vec::new() }
     }
@@ -211,12 +210,12 @@
         Call { method: Method::GET, path: "/v1/report".to_owned(), body: Vec::new() }
     }
 
-    fn leaves(status: StatusCode, body: &[u8]) -> bool {
-        let state: State = serde_json::from_slice(body).unwrap_or_default();
-        status == StatusCode::OK && state.leaving
+    fn is_draining(status: StatusCode, body: &[u8]) -> bool {
+        let report: Report = serde_json::from_slice(body).unwrap_or_default();
+        status == StatusCode::OK && report.leaving
     }
 
-    fn moved(status: StatusCode, body: &[u8]) -> Moved {
+    fn decode_move(status: StatusCode, body: &[u8]) -> Moved {
         let copied: Copied = serde_json::from_slice(body).unwrap_or_default();
         match (status, copied.copy) {
             (StatusCode::OK, Some(name)) => Moved::Copied { name },
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -334,7 +334,7 @@
     /// Records that a request was refused and announces it to the actives, any of which may receive
     /// the caller's retry.
     pub(crate) fn announce_refusal(&self, fingerprint: Fingerprint, age: Duration) {
-        self.process.note_refused(fingerprint, age);
+        self.process.record_refusal(fingerprint, age);
         let (actives, _) = self.actives_and_leaves();
         self.links.send_all(actives.iter(), &Frame::Refused { fingerprint, age_ms: millis(age) });
     }
@@ -376,11 +376,11 @@
         }
         drop(peers);
         alive.insert(self.own.host.clone(), own);
-        self.process.set_alive(alive.len());
+        self.process.set_live_entries(alive.len());
         let alive: Vec<Presence> = alive.into_values().collect();
         let members: Vec<Member> = alive.iter().map(|p| p.member.clone()).collect();
         let actives = topology::actives(&members);
-        self.process.set_actives(actives.len());
+        self.process.set_active_entries(actives.len());
         let links = topology::links(&self.own, &actives).into_iter().cloned().collect();
         let actives: BTreeSet<id::Host> =
             actives.into_iter().map(|member| member.host.clone()).collect();
@@ -433,7 +433,7 @@
         );
         self.peers.lock().remove(host);
         self.abandon_requests(host);
-        self.process.set_other(host, None);
+        self.process.set_peer_usage(host, None);
         self.stale.notify_one();
         self.changed.notify_waiters();
     }
@@ -452,7 +452,7 @@
                 self.handle_spent(from, update.target.clone(), Frame::LimitedSend(update));
             }
             Frame::ColdSend(update) => {
-                self.process.hear_cold(&update);
+                self.process.apply_cold_update(&update);
                 self.handle_spent(from, update.target.clone(), Frame::ColdSend(update));
             }
             Frame::PermitRequest { id, permit } => self.handle_question(from, id, permit),
@@ -467,11 +467,11 @@
                 self.migrations.finish(self, &engine, &request)
             }
             Frame::Refused { fingerprint, age_ms } => {
-                self.process.note_refused(fingerprint, Duration::from_millis(age_ms));
+                self.process.record_refusal(fingerprint, Duration::from_millis(age_ms));
             }
             Frame::Targets { revision, targets } => {
                 self.target_fetch.lock().end();
-                self.process.list_targets(revision, targets, "peer");
+                self.process.apply_target_list(revision, targets, "peer");
             }
             Frame::Changes { since, revision, changes } => {
                 self.apply_changes(since, revision, changes);
@@ -483,7 +483,7 @@
     /// followers.
     fn apply_changes(&self, since: Position, revision: Position, changes: Vec<Change>) {
         // Changes apply to a list; an entry without one will receive a list that includes them.
-        let Some(own) = self.process.listed_position() else { return };
+        let Some(own) = self.process.target_list_position() else { return };
         // Changes of a later era apply to its list, which is requested when a heartbeat of that era
         // arrives.
         if revision.era() != own.era() {
@@ -492,7 +492,7 @@
         // After a missed change the position must stay behind: with the new revision the gap would
         // be hidden, and the full list would never be requested.
         let reached = if own >= since { revision } else { own };
-        let new = self.process.change_targets(reached, changes);
+        let new = self.process.apply_target_changes(reached, changes);
         if !new.is_empty() && self.is_active() {
             let followers = self.followers();
             let frame = Frame::Changes { since, revision, changes: new };
--- a/crates/gateway/src/process/fleet/target_limits.rs
+++ b/crates/gateway/src/process/fleet/target_limits.rs
@@ -9,7 +9,7 @@
 impl Fleet {
     /// Announces the limits that have changed at this entry.
     pub(super) fn announce_limits(&self) {
-        let updates = self.process.take_limits();
+        let updates = self.process.take_limit_updates();
         if !updates.is_empty() {
             self.broadcast_limits(updates, true);
         }
@@ -18,7 +18,7 @@
     /// Applies the updates of another entry. An active forwards those that were new to it: updates
     /// of an active to its leaves, updates of a leaf to the other actives too.
     pub(super) fn apply_limits(&self, from: &id::Host, updates: Vec<Update>) {
-        let new = self.process.hear_limits(updates);
+        let new = self.process.apply_limit_updates(updates);
         if !new.is_empty() && self.is_active() {
             let leaf = !self.view().actives.contains(from);
             self.broadcast_limits(new, leaf);
@@ -27,7 +27,7 @@
 
     /// Sends all known limits over a link that has just opened.
     pub(super) fn send_limits(&self, to: &id::Host) {
-        let known = self.process.all_limits();
+        let known = self.process.all_limit_updates();
         if !known.is_empty() {
             self.links.send(to, &Frame::Limits(known));
         }
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -27,7 +27,7 @@
 use crate::process::serve::Listeners;
 use crate::process::settings::Settings;
 use crate::process::state::Process;
-use crate::version::{follow, report};
+use crate::version::{engine_poll, watcher};
 
 /// The interval at which a drain checks for requests in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
@@ -93,8 +93,8 @@
         let peers = tokio::net::TcpListener::from_std(peers).map_err(bind_error)?;
         let fleet = Fleet::spawn(Arc::clone(&process), peers);
         let server = serve::spawn::<P>(&process, &fleet, listeners).map_err(bind_error)?;
-        follow::spawn::<P>(&process, &fleet);
-        report::spawn::<P>(&process, &fleet);
+        watcher::spawn::<P>(&process, &fleet);
+        engine_poll::spawn::<P>(&process, &fleet);
         let polled = Arc::clone(&process);
         ntex::rt::spawn(async move {
             loop {
--- /dev/null
+++ b/crates/gateway/src/process/state/target_limits.rs
@@ -0,0 +1,139 @@
+//! Request rates of targets: limits that targets advertise, and limits of targets that are cold.
+
+use std::time::Duration;
+
+use fireflyhoist_policy::cold;
+use fireflyhoist_policy::id;
+use fireflyhoist_policy::lease::{Leases, Target};
+use fireflyhoist_policy::target_limit::{Advertisement, Update};
+use fireflyhoist_policy::time::Time;
+use fireflyhoist_policy::token_bucket::Allowance;
+
+use crate::connection::frame::Permit;
+use crate::process::state::{Process, millis};
+
+impl Process {
+    /// Records the limit in the answer of `target` to a request that was sent at `sent`.
+    pub(crate) fn record_limit(&self, target: &Target, sent: Time, advertised: Advertisement) {
+        if advertised == Advertisement::Invalid {
+            ::log::debug!(target:% = target.id; "target sent an invalid limit");
+        }
+        let mut limits = self.target_limits.lock();
+        if !limits.record_answer(self.clock.now(), target, sent, advertised) {
+            return;
+        }
+        let limit = limits.limit(&target.id);
+        drop(limits);
+        self.request_heartbeat();
+        match limit {
+            Some(rate) => {
+                ::log::info!(target:% = target.id, per_s:% = rate; "target names a limit")
+            }
+            None => ::log::info!(target:% = target.id; "target no longer advertises a limit"),
+        }
+    }
+
+    /// Number of targets that advertise a limit.
+    pub(crate) fn limited_targets(&self) -> usize {
+        self.target_limits.lock().limited_count()
+    }
+
+    /// Sets the number of live entries, which the token buckets take into account.
+    pub(crate) fn set_live_entries(&self, count: usize) {
+        self.buckets.lock().set_alive(self.clock.now(), count);
+    }
+
+    /// How long a target stays cold: by its lease, or since the cordon of its failure domain was
+    /// lifted. Zero where it is warm or unknown.
+    fn cold_remaining(&self, id: &id::Target) -> Duration {
+        let now = self.clock.now();
+        let leases = self.leases.lock();
+        let Some(target) = leases.get(id) else { return Duration::ZERO };
+        let settle_time = self.cordons.lock().settle_remaining(now, &target.domain);
+        leases.cold_remaining(now, id).max(settle_time)
+    }
+
+    /// The limit of a target while it is cold; `None` where its service sets none.
+    fn cold_limit(&self, id: &id::Target) -> Option<cold::Limit> {
+        let service = self.leases.lock().get(id)?.service.clone();
+        let warmup = self.table()?.service(&service)?.warmup?;
+        let bounds = self.bounds();
+        let (excess, margin) = (bounds.cold_excess, bounds.cold_margin);
+        Some(cold::Limit { per_s: warmup.per_s, excess, margin })
+    }
+
+    /// The limits that apply to a target now.
+    fn allowance(&self, target: &id::Target) -> Allowance {
+        let advertised = self.target_limits.lock().limit(target);
+        let cold = match self.cold_remaining(target) {
+            Duration::ZERO => None,
+            _ => self.cold_limit(target),
+        };
+        Allowance { advertised, cold }
+    }
+
+    /// Number of targets that are cold.
+    pub(crate) fn cold_targets(&self) -> usize {
+        let ids: Vec<id::Target> = self.leases.lock().all().map(|t| t.id.clone()).collect();
+        ids.iter().filter(|id| !self.cold_remaining(id).is_zero()).count()
+    }
+
+    /// Applies an update of another entry about a cold target.
+    pub(crate) fn apply_cold_update(&self, update: &cold::Update) {
+        self.leases.lock().apply_cold_update(self.clock.now(), update);
+    }
+
+    /// Takes a token for a request to a limited target; where there is none, returns the time after
+    /// which to ask again. Only the entry that decides for the target calls it.
+    pub(crate) fn try_send(&self, target: &id::Target) -> Option<Duration> {
+        let allowance = self.allowance(target);
+        self.buckets.lock().try_send(self.clock.now(), target, &allowance)
+    }
+
+    /// Takes a token for a request that is sent whether or not there is one. Only the entry that
+    /// decides for the target calls it.
+    pub(crate) fn spend(&self, target: &id::Target) {
+        let allowance = self.allowance(target);
+        self.buckets.lock().spend(self.clock.now(), target, &allowance);
+    }
+
+    /// The question for the entry that decides for a target, to be asked before a request is sent
+    /// there; `None` where the target is not limited.
+    pub(crate) fn question(&self, target: &id::Target) -> Option<Permit> {
+        let now = self.clock.now();
+        let Allowance { advertised, cold } = self.allowance(target);
+        if cold.is_some() {
+            let start = self.leases.lock().get(target)?.start;
+            let remaining_ms = millis(self.cold_remaining(target));
+            return Some(Permit::ColdSend(cold::Update {
+                target: target.clone(),
+                start,
+                remaining_ms,
+            }));
+        }
+        advertised?;
+        self.target_limits.lock().to_update(now, target).map(Permit::LimitedSend)
+    }
+
+    /// Takes the limit updates that are due to be sent to other entries.
+    pub(crate) fn take_limit_updates(&self) -> Vec<Update> {
+        self.target_limits.lock().take_updates(self.clock.now())
+    }
+
+    /// All limits, for an entry whose link has just opened.
+    pub(crate) fn all_limit_updates(&self) -> Vec<Update> {
+        self.target_limits.lock().all_updates(self.clock.now())
+    }
+
+    /// Applies limit updates of another entry; returns those that were new.
+    pub(crate) fn apply_limit_updates(&self, updates: Vec<Update>) -> Vec<Update> {
+        self.target_limits.lock().apply(self.clock.now(), updates)
+    }
+
+    /// Drops the limits and token buckets of targets that are no longer listed.
+    pub(super) fn retain_limits(&self, leases: &Leases) {
+        let mut limits = self.target_limits.lock();
+        limits.retain(|id| leases.get(id));
+        self.buckets.lock().retain(|target| leases.get(target).is_some());
+    }
+}
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -9,7 +9,7 @@
 use ntex::http::HeaderMap;
 
 use crate::connection::exchange::{self, Failure, Outgoing, Response};
-use crate::platform::{Copy, Platform, Stamp};
+use crate::platform::{Copy, Platform, TargetHeaders};
 use crate::process::state::millis;
 use crate::request::{Context, URGENCY, Worker, liveness};
 
@@ -122,14 +122,14 @@
         return Err(Error::NotSent(CORDONED));
     }
     let time_left = context.time_left(worker.process.clock.now());
-    let stamp = Stamp {
+    let stamp = TargetHeaders {
         instance: &target.instance,
-        left: time_left,
+        timeout: time_left,
         workspace: context.label.as_deref(),
         backup: options.backup,
         copy: options.copy.as_ref(),
         last_event: options.last_event.or(context.facts.last_event),
-        urgency: URGENCY,
+        rank: URGENCY,
     };
     let outgoing = Outgoing {
         method: context.method.clone(),
@@ -147,10 +147,10 @@
     })?;
     let reply = P::reply(response.status, &response.headers);
     if !reply.misdirected {
-        worker.process.note_limit(&target, sent_at, reply.limit);
+        worker.process.record_limit(&target, sent_at, reply.limit);
     }
     if reply.misdirected {
-        worker.process.target_replaced(id);
+        worker.process.mark_target_replaced(id);
         return Err(Error::NotRun("misdirected"));
     }
     if reply.declined {
@@ -163,9 +163,9 @@
     Ok(Started { response, sent_at })
 }
 
-fn stamp_headers<P: Platform>(headers: &HeaderMap, stamp: &Stamp<'_>) -> HeaderMap {
+fn stamp_headers<P: Platform>(headers: &HeaderMap, stamp: &TargetHeaders<'_>) -> HeaderMap {
     let mut headers = headers.clone();
-    P::stamp(&mut headers, stamp);
+    P::set_target_headers(&mut headers, stamp);
     headers
 }
 
--- a/crates/gateway/src/request/liveness.rs
+++ b/crates/gateway/src/request/liveness.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 
 use crate::connection::exchange::CONNECT_TIMEOUT;
-use crate::process::state::{Inspection, Process, millis};
+use crate::process::state::{CrashCheck, Process, millis};
 use crate::request::{Context, Worker};
 
 /// The state of a target after a run on it was interrupted.
@@ -55,7 +55,7 @@
 
     /// Checks the target in the background and records the result.
     pub(crate) fn spawn(self) {
-        let inspection = Inspection::open(&self.process, self.fingerprint);
+        let inspection = CrashCheck::open(&self.process, self.fingerprint);
         let interrupted_at = self.process.clock.now();
         ntex::rt::spawn(async move {
             self.record(self.status().await, interrupted_at);
@@ -87,13 +87,18 @@
         self.process.metrics.broken_run(status);
         let crashes = match status {
             Status::Crashed => {
-                self.process.note_end(interrupted_at, self.fingerprint, &self.target, run_time)
+                self.process.record_crash(interrupted_at, self.fingerprint, &self.target, run_time)
             }
             Status::Alive => {
-                self.process.doubt(interrupted_at, self.fingerprint, &self.target, run_time);
-                self.process.ends(self.fingerprint)
+                self.process.record_unconfirmed_crash(
+                    interrupted_at,
+                    self.fingerprint,
+                    &self.target,
+                    run_time,
+                );
+                self.process.crashes(self.fingerprint)
             }
-            Status::Draining => self.process.ends(self.fingerprint),
+            Status::Draining => self.process.crashes(self.fingerprint),
         };
         log::info!(
             request = self.request.as_str(), print:% = self.fingerprint, target:% = self.target.id,
--- a/crates/gateway/src/request/migration.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -50,7 +50,7 @@
 /// Returns the expected length of an answer: the caller's estimate, or else the maximum that it
 /// requested.
 pub(crate) fn expected_tokens(context: &Context) -> Tokens {
-    context.facts.guess.unwrap_or(context.facts.limit)
+    context.facts.expected_tokens.unwrap_or(context.facts.max_tokens)
 }
 
 /// A copy of an answer's memory that another engine keeps up to date while the answer grows.
@@ -73,11 +73,12 @@
         if !backups || !is_long(context) {
             return None;
         }
-        let neighbours = worker.process.neighbours(current);
+        let neighbours = worker.process.same_domain_targets(current);
         let candidates = pass.migration_targets(&neighbours, Some(BACKUP_RESERVE));
         let candidate = candidates.into_iter().find(|candidate| candidate != current)?;
         let target = worker.process.target(&candidate)?;
-        let reservation = CopyUsage::open(&worker.process, &target.id, context.facts.prompt.get());
+        let reservation =
+            CopyUsage::open(&worker.process, &target.id, context.facts.prompt_tokens.get());
         Some(Self { reservation, listed: target })
     }
 
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -113,7 +113,7 @@
                     Err(Rejection::Refused(refusal)) => self.refusal = Some(refusal),
                 }
             }
-            let suspect = self.worker.process.ends(self.context.fingerprint) > 0;
+            let suspect = self.worker.process.crashes(self.context.fingerprint) > 0;
             let may_hedge = self.context.route.kind == Kind::Safe && self.attempts == 1 && !suspect;
             let finished = tokio::select! {
                 finished = pending.next() => finished,
@@ -206,7 +206,7 @@
     };
     pass.finish(outcome);
     if result.is_ok() {
-        worker.process.note_whole(context.fingerprint);
+        worker.process.record_completion(context.fingerprint);
     }
     Finished { target, result }
 }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -11,7 +11,7 @@
 
 use crate::platform::Platform;
 use crate::process::service_gate::Pass;
-use crate::process::state::{Open, millis};
+use crate::process::state::{RequestGuard, millis};
 use crate::request::admission::{self, Rejection};
 use crate::request::attempt::{self, Error, Options, Started, decline_retry_after};
 use crate::request::migration::{self, Backup};
@@ -26,7 +26,11 @@
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// Serves one generation; its answer is relayed after this returns.
-pub(crate) async fn serve<P: Platform>(worker: &Worker, context: Context, open: Open) -> Response {
+pub(crate) async fn serve<P: Platform>(
+    worker: &Worker,
+    context: Context,
+    open: RequestGuard,
+) -> Response {
     let context = Rc::new(context);
     if migration::is_long(&context)
         && let Some(after) = drain_retry_after(worker, &context)
@@ -53,7 +57,7 @@
 
 /// Returns when to retry if this entry is draining and the answer would not end before it stops.
 fn drain_retry_after(worker: &Worker, context: &Context) -> Option<Duration> {
-    let (since, time_left) = worker.process.leaving()?;
+    let (since, time_left) = worker.process.leave_times()?;
     let others = worker.fleet.has_ready_peer();
     let state = State {
         peers_accept: others,
@@ -71,7 +75,7 @@
 struct Dispatch<'a> {
     worker: &'a Worker,
     context: Rc<Context>,
-    open: Option<Open>,
+    open: Option<RequestGuard>,
     /// Number of attempts that were sent.
     attempts: u32,
     /// Whether an attempt may have reached a target.
@@ -174,7 +178,7 @@
     async fn attempt<P: Platform>(&mut self, pass: Pass) -> Result<Response, Error> {
         self.attempts += 1;
         self.in_flight = true;
-        self.worker.process.note_sent();
+        self.worker.process.request_heartbeat();
         let backup = Backup::choose(self.worker, &self.context, &pass, pass.target());
         let options =
             Options { backup: backup.as_ref().map(Backup::address), ..Options::default() };
@@ -216,7 +220,7 @@
             }
             Error::Unknown("cut")
         })?;
-        self.worker.process.note_whole(self.context.fingerprint);
+        self.worker.process.record_completion(self.context.fingerprint);
         let more = self.attempts < self.context.route.attempts;
         if server_error && more && self.context.route.kind.is_idempotent() {
             return Err(Error::Unknown("failed"));
--- a/crates/gateway/src/request/transfer.rs
+++ b/crates/gateway/src/request/transfer.rs
@@ -124,7 +124,7 @@
     first: SmolStr,
     reservation: CopyUsage,
 ) -> Result<Transferred, Error> {
-    let call = Some(P::drop_copy(&first));
+    let call = Some(P::delete_copy(&first));
     let cleanup = Cleanup { call, from: from.address, to: to.address };
     let transferred = |name, cleanup| {
         let copy = Copy { at: from.address, name };
@@ -163,7 +163,7 @@
             exchange::call(from.address, outgoing(call), TRANSFER_TIMEOUT, MAX_REPLY_BYTES).await;
         let (status, body): (StatusCode, Bytes) =
             called.map_err(|error| transfer_failed(&error))?;
-        match P::moved(status, &body) {
+        match P::decode_move(status, &body) {
             Moved::Copied { name } => return Ok(name),
             Moved::Busy => sleep(BUSY_DELAY).await,
             Moved::NoRun => return Err(Error::Unknown("no run")),
--- a/crates/gateway/src/version/history.rs
+++ b/crates/gateway/src/version/history.rs
@@ -1,4 +1,4 @@
-//! Where the registry's replies stand in its history.
+//! Tracks the era and the revision of the registry's replies.
 
 use std::sync::Arc;
 
@@ -6,54 +6,55 @@
 
 use crate::process::state::Process;
 
-/// The history of the registry as one follower reads it.
+/// Era and revision of the registry as one watcher has seen them.
 #[derive(Debug)]
 pub(crate) struct History {
     process: Arc<Process>,
-    /// Where the latest reply stood.
-    seen: Position,
-    /// An era that the registry went back to, which so says nothing any more.
-    fallen: Option<u64>,
+    /// The position of the latest reply.
+    latest: Position,
+    /// The latest lower era that the registry reported, so that it is logged once.
+    lowered_era: Option<u64>,
 }
 
 impl History {
     pub(crate) fn open(process: &Arc<Process>) -> Self {
-        Self { process: Arc::clone(process), seen: Position::default(), fallen: None }
+        Self { process: Arc::clone(process), latest: Position::default(), lowered_era: None }
     }
 
-    /// The era of a reply to a call that was made when `known` was.
+    /// The era of a reply to a call that was made when the era `known` was known.
     ///
-    /// A registry that says nothing, or less than was known before it was asked, can't be gone by: its
-    /// replies count as of the era that is known, which its revisions raise where they go back.
-    pub(crate) fn era(&mut self, known: u64, said: Option<u64>) -> u64 {
-        match said {
+    /// Where the registry reports no era, or one below `known`, its report cannot be relied on. The
+    /// reply then counts as of the known era, and [`Self::resolve_position`] raises the era
+    /// whenever revisions go back.
+    pub(crate) fn resolve_era(&mut self, known: u64, reported: Option<u64>) -> u64 {
+        match reported {
             Some(era) if era >= known => {
-                self.process.note_era(era, "registry");
+                self.process.raise_era(era, "registry");
                 era
             }
-            said => {
-                if said.is_some() && said != self.fallen {
-                    ::log::warn!(known = known, said = said; "registry's era fell; going by its revisions");
-                    self.fallen = said;
+            reported => {
+                if reported.is_some() && reported != self.lowered_era {
+                    ::log::warn!(known = known, said = reported; "registry reported a lower era; relying on its revisions");
+                    self.lowered_era = reported;
                 }
                 self.process.era()
             }
         }
     }
 
-    /// Where a reply stands; a revision below that of the reply before is of a later era, whatever the
-    /// registry says.
-    pub(crate) fn position(&mut self, era: u64, revision: u64) -> Position {
+    /// The position of a reply. A revision below that of the previous reply means a later era,
+    /// whatever the registry reports.
+    pub(crate) fn resolve_position(&mut self, era: u64, revision: u64) -> Position {
         let mut position = Position::new(era, revision);
-        if position.era() == self.seen.era() && revision < self.seen.revision() {
+        if position.era() == self.latest.era() && revision < self.latest.revision() {
             ::log::warn!(
-                seen:% = self.seen, told:% = position;
-                "registry's revisions went back; everything is read anew"
+                seen:% = self.latest, told:% = position;
+                "registry's revisions went back; reading everything again"
             );
             position = Position::new(era + 1, revision);
-            self.process.note_era(era + 1, "revisions");
+            self.process.raise_era(era + 1, "revisions");
         }
-        self.seen = position;
+        self.latest = position;
         position
     }
 }
