--- a/crates/gateway/src/process/fleet/intake.rs
+++ b/crates/gateway/src/process/fleet/intake.rs
@@ -42,7 +42,7 @@
 
     /// Counts a request that is sent to a target in any case, where that takes only so much.
     pub(crate) fn spend(&self, target: &id::Target) {
-        let frame = match self.process.question(target) {
+        let frame = match self.process.required_permit(target) {
             Some(Permit::ColdSend(word)) => Frame::ColdSend(word),
             Some(Permit::LimitedSend(word)) => Frame::LimitedSend(word),
             Some(Permit::Trial(_)) | None => return,
--- a/crates/gateway/src/request/admission.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -65,7 +65,7 @@
 /// Asks the entry that owns the target's token bucket for one request. Returns why and for how long
 /// the target accepts no more, or `None` if the request may be sent now.
 async fn check_limit(worker: &Worker, target: &id::Target) -> Option<(Exclusion, Duration)> {
-    let question = worker.process.question(target)?;
+    let question = worker.process.required_permit(target)?;
     let exclusion = match question {
         Permit::ColdSend(_) => Exclusion::Cold,
         Permit::LimitedSend(_) | Permit::Trial(_) => Exclusion::Limited,
@@ -78,7 +78,7 @@
 /// Filters targets, given in order of preference, to those that accept a request now: all targets
 /// without a limit or, if there are none, the first target whose limit grants the request.
 pub(crate) async fn within_limits(worker: &Worker, targets: Vec<Target>) -> Vec<Target> {
-    let limited = |target: &Target| worker.process.question(&target.id).is_some();
+    let limited = |target: &Target| worker.process.required_permit(&target.id).is_some();
     let (limited, unlimited): (Vec<Target>, Vec<Target>) = targets.into_iter().partition(limited);
     if !unlimited.is_empty() {
         return unlimited;
