--- a/crates/gateway/src/process/fleet/grant.rs
+++ b/crates/gateway/src/process/fleet/grant.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
-use crate::connection::frame::{Frame, Question};
+use crate::connection::frame::{Frame, Permit};
 use crate::process::fleet::Fleet;
 use crate::process::state::millis;
 
@@ -62,7 +62,7 @@
 
 impl Fleet {
     /// Asks the entry that decides; `Some` says how long to wait instead.
-    pub(crate) async fn ask(&self, question: Question, within: Duration) -> Option<Duration> {
+    pub(crate) async fn ask(&self, question: Permit, within: Duration) -> Option<Duration> {
         let keeper = self.keeper(&question.key());
         if keeper == *self.host() {
             return self.decide(&question);
@@ -70,7 +70,7 @@
         let (sender, receiver) = oneshot::channel();
         let ask = self.questions.add(Waiter::Own(sender));
         let key = question.key();
-        self.links.send(&keeper, &Frame::Ask { ask, question });
+        self.links.send(&keeper, &Frame::PermitRequest { id: ask, permit: question });
         let answer = timeout(within, receiver).await;
         self.questions.take(ask);
         match answer {
@@ -83,21 +83,21 @@
     }
 
     /// Answers another entry's question, or passes a leaf's on to the entry that decides.
-    pub(super) fn take_question(&self, from: &id::Host, ask: u64, question: Question) {
+    pub(super) fn take_question(&self, from: &id::Host, ask: u64, question: Permit) {
         let keeper = self.keeper(&question.key());
         let leaf = !self.view().actives.contains(from);
         if leaf && keeper != *self.host() {
             let ask = self.questions.add(Waiter::Passed(from.clone(), ask));
-            self.links.send(&keeper, &Frame::Ask { ask, question });
+            self.links.send(&keeper, &Frame::PermitRequest { id: ask, permit: question });
             return;
         }
         match &question {
-            Question::Trial(record) => self.take_poison(from, vec![record.clone()]),
-            Question::Send(word) => self.take_limits(from, vec![word.clone()]),
-            Question::Cold(word) => self.process.hear_cold(word),
+            Permit::Trial(record) => self.take_poison(from, vec![record.clone()]),
+            Permit::LimitedSend(word) => self.take_limits(from, vec![word.clone()]),
+            Permit::ColdSend(word) => self.process.hear_cold(word),
         }
         let wait = self.decide(&question);
-        self.links.send(from, &Frame::Answer { ask, wait_ms: wait.map(millis) });
+        self.links.send(from, &Frame::PermitReply { id: ask, wait_ms: wait.map(millis) });
     }
 
     pub(super) fn take_answer(&self, ask: u64, wait_ms: Option<u64>) {
@@ -107,20 +107,20 @@
                 let _ = waiter.send(wait_ms.map(Duration::from_millis));
             }
             Some(Waiter::Passed(leaf, ask)) => {
-                self.links.send(&leaf, &Frame::Answer { ask, wait_ms });
+                self.links.send(&leaf, &Frame::PermitReply { id: ask, wait_ms });
             }
             None => {}
         }
     }
 
-    fn decide(&self, question: &Question) -> Option<Duration> {
+    fn decide(&self, question: &Permit) -> Option<Duration> {
         match question {
-            Question::Trial(record) => match self.process.try_trial(record.fingerprint) {
+            Permit::Trial(record) => match self.process.try_trial(record.fingerprint) {
                 Decision::Allow | Decision::Trial => None,
                 Decision::Refuse(wait) => Some(wait),
             },
-            Question::Send(word) => self.process.try_send(&word.target),
-            Question::Cold(word) => self.process.try_send(&word.target),
+            Permit::LimitedSend(word) => self.process.try_send(&word.target),
+            Permit::ColdSend(word) => self.process.try_send(&word.target),
         }
     }
 }
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -30,10 +30,10 @@
 impl Error {
     fn from_failure(failure: &Failure) -> Self {
         match failure {
-            Failure::Unreached => Self::NotSent("unreached"),
-            Failure::Late => Self::Unknown("late"),
+            Failure::ConnectFailed => Self::NotSent("unreached"),
+            Failure::TimedOut => Self::Unknown("late"),
             Failure::Broken { .. } => Self::Unknown("broken"),
-            Failure::Large => Self::Unknown("large"),
+            Failure::BodyTooLarge => Self::Unknown("large"),
         }
     }
 
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -219,7 +219,7 @@
     let listed = worker.process.target(target).ok_or(Error::NotRun("gone"))?;
     let started = attempt::send::<P>(worker, context, target, &Options::default()).await?;
     let Started { mut response, sent_at } = started;
-    let body = response.whole(MAX_ANSWER_BYTES).await.map_err(|failure| {
+    let body = response.read_body(MAX_ANSWER_BYTES).await.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
             liveness::Check::new(worker, context, &listed, sent_at).spawn();
         }
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -6,7 +6,7 @@
 use ntex::http::Response;
 
 use crate::connection::exchange::CONNECT_TIMEOUT;
-use crate::connection::frame::Question;
+use crate::connection::frame::Permit;
 use crate::process::state::millis;
 use crate::request::{Context, Worker, refuse};
 
@@ -42,7 +42,7 @@
         Decision::Refuse(wait) => Some(wait),
         Decision::Trial => {
             let record = worker.process.poison_record(context.fingerprint)?;
-            let wait = worker.fleet.ask(Question::Trial(record), TRIAL_TIMEOUT).await;
+            let wait = worker.fleet.ask(Permit::Trial(record), TRIAL_TIMEOUT).await;
             if wait.is_none() {
                 context.has_trial.set(true);
                 log_decision(worker, context, "tried", Duration::ZERO);
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -210,7 +210,7 @@
         let server_error = response.status.is_server_error();
         let listed = self.worker.process.target(pass.target());
         pass.finish(if server_error { Outcome::ServerError } else { Outcome::Whole });
-        let body = response.whole(MAX_ANSWER_BYTES).await.map_err(|_| {
+        let body = response.read_body(MAX_ANSWER_BYTES).await.map_err(|_| {
             if let Some(target) = &listed {
                 liveness::Check::new(self.worker, &self.context, target, *sent_at).spawn();
             }
--- a/crates/gateway/tests/texts.rs
+++ b/crates/gateway/tests/texts.rs
@@ -1,4 +1,4 @@
-//! Which version of the operators' text decides, from the first moment on.
+//! Which version of the operators' text an entry applies, from its start on.
 
 mod support;
 
@@ -8,16 +8,16 @@
 use fireflyhoist_standin::registry::{Mood, Registry};
 use support::caller::Request;
 use support::target::{Standin, answer};
-use support::{eventually, gateway, of_power, route, text, unready, until_ready};
+use support::{eventually, gateway, route, start_with_power, text, unready, until_ready};
 
 fn web() -> Route {
     route("web", Kind::Unsafe)
 }
 
-/// A member is told that the archive does not exist: the entry has just started and knows no text.
-/// It says that it is not ready instead, that nothing ran, and when to come back.
+/// Guards against an entry that has just started and has no text yet answering 404 for routes that
+/// exist. It must answer 503 and say that the request did not run and when to retry.
 #[ntex::test]
-async fn an_entry_without_a_text_refuses_nothing_for_good() {
+async fn an_entry_without_a_text_answers_503() {
     let registry = Registry::open().await;
     registry.set_mood(Mood::Busy);
     let gateway = unready(registry.address(), "entry-1", &[]).await;
@@ -29,9 +29,9 @@
     assert_eq!(Request::get("/v1/entries").send(gateway.directory()).await.status, 503);
 }
 
-/// Requests without a route, or with a key that nobody holds, reach no target.
+/// Requests that match no route, or whose key is unknown, reach no target.
 #[ntex::test]
-async fn routes_and_keys_decide() {
+async fn unknown_routes_and_keys_are_refused() {
     let registry = Registry::open().await;
     let inner = Route {
         prefix: "/web/inner/".into(),
@@ -51,17 +51,17 @@
     assert_eq!(ask(Request::new("POST", "/none/x")).await.status, 404);
     assert_eq!(ask(Request::keyless("POST", "/open/x")).await.body, "open");
     assert_eq!(ask(Request::keyless("POST", "/web/x")).await.status, 401);
-    let stranger = Request::keyless("POST", "/web/x").header("authorization", "Bearer other");
-    assert_eq!(ask(stranger).await.status, 401);
+    let unknown_key = Request::keyless("POST", "/web/x").header("authorization", "Bearer other");
+    assert_eq!(ask(unknown_key).await.status, 401);
     assert_eq!(ask(Request::get("/web/x")).await.status, 404, "another host");
-    let twice = Request::new("POST", "/web/x").header("host", "other.example");
-    assert_eq!(ask(twice).await.status, 400, "two hosts");
+    let two_hosts = Request::new("POST", "/web/x").header("host", "other.example");
+    assert_eq!(ask(two_hosts).await.status, 400, "two hosts");
 }
 
-/// A revoked key still opens the archive, or a dropped route still answers, seconds after the
-/// operators took it away.
+/// Guards against a revoked key or a removed route being accepted seconds after the operators
+/// removed it.
 #[ntex::test]
-async fn a_newer_text_is_in_force_at_once() {
+async fn a_newer_text_applies_at_once() {
     let registry = Registry::open().await;
     registry.publish(text(7, vec![web()]));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
@@ -76,10 +76,10 @@
     eventually(async || ask().await == 401).await;
 }
 
-/// A dropped route comes back: a reading of an older text arrives after the newer one, from a
-/// registry that serves stale copies. The higher revision stays.
+/// Guards against a removed route being served again because a registry that serves stale copies
+/// returns an older text after the newer one. The text with the higher revision stays in force.
 #[ntex::test]
-async fn an_older_text_never_comes_back() {
+async fn an_older_text_is_ignored() {
     let registry = Registry::open().await;
     let both = text(7, vec![web(), route("old", Kind::Unsafe)]);
     registry.publish(text(9, vec![web()]));
@@ -92,10 +92,11 @@
     assert_eq!(answer.status, 404);
 }
 
-/// All machines lose power and return while the registry is down: whoever knows the text and the
-/// targets tells the one that starts, which serves within a second or two.
+/// Guards against an entry not starting while the registry is down, as after a power loss of all
+/// hosts. It must get the text and the targets from peers that have them, and serve within a second
+/// or two.
 #[ntex::test]
-async fn an_entry_that_cannot_read_the_registry_learns_from_its_peers() {
+async fn an_entry_without_a_registry_starts_from_its_peers() {
     let registry = Registry::open().await;
     registry.publish(text(3, vec![web()]));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
@@ -115,13 +116,14 @@
     eventually(both).await;
 }
 
-/// An entry that leaves is out of the answer with addresses, says so itself, and still answers
-/// those who come late, closing their connections.
+/// An entry that drains is removed from the directory, reports itself as not ready, and still
+/// answers late requests, closing their connections. It refuses streams that would be cut when its
+/// process ends.
 #[ntex::test]
-async fn an_entry_that_leaves_is_no_longer_named() {
+async fn a_draining_entry_is_not_listed() {
     let registry = Registry::open().await;
-    let page = route("gen", Kind::Stream { resumable: false });
-    registry.publish(text(3, vec![web(), page]));
+    let stream = route("gen", Kind::Stream { resumable: false });
+    registry.publish(text(3, vec![web(), stream]));
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
     registry.put(target.listed.clone());
     let first = gateway(&registry).await;
@@ -130,11 +132,11 @@
     let (callers, readiness) = (second.callers(), second.readiness());
     ntex::rt::spawn(second.drain()).detach();
     eventually(async || Request::get("/readyz").send(readiness).await.status == 503).await;
-    let named = async || {
+    let is_listed = async || {
         let entries = Request::get("/v1/entries").send(first.directory()).await.body;
         entries.contains(&callers.to_string())
     };
-    eventually(async || !named().await).await;
+    eventually(async || !is_listed().await).await;
     let late = Request::new("POST", "/web/x").body("b").send(callers).await;
     assert_eq!(late.status, 200);
     assert_eq!(late.header("connection"), Some("close"));
@@ -143,17 +145,17 @@
     assert!(long.body.contains("\"ran\":\"no\"") && long.header("retry-after").is_some());
 }
 
-/// Eighty entries ask the registry again at each new text, and what the operators pay for calls grows
-/// with the fleet. Those that stand by are told by two that carry the traffic, and know it in time.
+/// Guards against every one of eighty entries reading each new text from the registry: the cost of
+/// these calls grows with the fleet. Leaves receive texts from the two active entries, and in time.
 #[ntex::test]
-async fn entries_that_stand_by_are_told_of_texts() {
+async fn leaves_receive_texts_from_active_entries() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![web()]));
     let mut entries = Vec::new();
     let mut seeds = Vec::new();
     for nth in 0..14 {
         let power = if nth < 2 { 1.0 } else { 0.1 };
-        let entry = of_power(registry.address(), &format!("e-{nth}"), &seeds, power).await;
+        let entry = start_with_power(registry.address(), &format!("e-{nth}"), &seeds, power).await;
         if nth < 2 {
             seeds.push(entry.peers());
         }
@@ -162,7 +164,7 @@
     for entry in &entries {
         until_ready(entry).await;
     }
-    // Links settle: seeds are dialled for three seconds.
+    // Entries dial their seeds for three seconds before the links are stable.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let before = registry.calls();
     registry.publish(text(2, vec![web(), route("new", Kind::Unsafe)]));
@@ -176,11 +178,12 @@
     assert!(calls < 12, "{calls} calls for one text");
 }
 
-/// A route that was published seconds ago is refused with 404 by every entry. The connections of
-/// all their calls to the registry went silent, new ones work. Each awaits changes of the text for
-/// half a minute, since the others would tell it; none of them hears any.
+/// Guards against every entry answering 404 for a route that was published seconds ago. The
+/// connections of all their registry calls hang, while new connections work. If each entry relied
+/// on its peers to announce a text and waited for its own watch for half a minute, none would
+/// receive it.
 #[ntex::test]
-async fn a_text_is_heard_of_though_all_watches_fell_silent() {
+async fn a_text_is_received_while_all_watches_hang() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![web()]));
     let first = gateway(&registry).await;
@@ -193,7 +196,7 @@
     for entry in &entries {
         until_ready(entry).await;
     }
-    // They know of each other, and all wait for changes.
+    // By now all entries know each other and wait for changes.
     tokio::time::sleep(Duration::from_secs(4)).await;
     registry.lose_calls();
     tokio::time::sleep(Duration::from_secs(3)).await;
