--- a/crates/gateway/src/request/admission.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -65,12 +65,12 @@
 /// Asks the entry that owns the target's token bucket for one request. Returns why and for how long
 /// the target accepts no more, or `None` if the request may be sent now.
 async fn check_limit(worker: &Worker, target: &id::Target) -> Option<(Exclusion, Duration)> {
-    let question = worker.process.question(target)?;
-    let exclusion = match question {
+    let permit = worker.process.question(target)?;
+    let exclusion = match permit {
         Permit::ColdSend(_) => Exclusion::Cold,
         Permit::LimitedSend(_) | Permit::Trial(_) => Exclusion::Limited,
     };
-    let wait = worker.fleet.ask(question, SEND_TIMEOUT).await;
+    let wait = worker.fleet.ask(permit, SEND_TIMEOUT).await;
     worker.process.metrics.limited(exclusion, if wait.is_some() { "elsewhere" } else { "sent" });
     wait.map(|wait| (exclusion, wait))
 }
