--- a/crates/gateway/src/request/admission.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -9,7 +9,7 @@
 use fireflyhoist_policy::lease::Target;
 
 use crate::connection::frame::Permit;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::request::{Context, Worker, quarantine};
 
 /// How long the entry that owns a target's token bucket may take to answer: about twenty round
@@ -40,7 +40,7 @@
         let pass =
             context.lane.admit(request).await.map_err(|refusal| log_refusal(context, refusal))?;
         if let Some((exclusion, wait)) = check_limit(worker, pass.target()).await {
-            context.lane.close_target(pass.target(), wait, exclusion);
+            context.lane.suspend_target(pass.target(), wait, exclusion);
             // The retry budget has been charged for this attempt already.
             retry = false;
             continue;
@@ -71,7 +71,10 @@
         Permit::LimitedSend(_) | Permit::Trial(_) => Exclusion::Limited,
     };
     let wait = worker.fleet.ask(permit, SEND_TIMEOUT).await;
-    worker.process.metrics.limited(exclusion, if wait.is_some() { "elsewhere" } else { "sent" });
+    worker
+        .process
+        .metrics
+        .limited_send(exclusion, if wait.is_some() { "elsewhere" } else { "sent" });
     wait.map(|wait| (exclusion, wait))
 }
 
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -14,7 +14,7 @@
 
 use crate::connection::exchange::Failure;
 use crate::platform::Platform;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::request::admission::{self, Rejection};
 use crate::request::attempt::{self, Error, Options, Started, decline_retry_after};
 use crate::request::{Context, Worker, end_to_end, liveness, quarantine, refuse};
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -10,7 +10,7 @@
 use ntex::time::timeout;
 
 use crate::platform::Platform;
-use crate::process::lane::Pass;
+use crate::process::service_gate::Pass;
 use crate::process::state::{Open, millis};
 use crate::request::admission::{self, Rejection};
 use crate::request::attempt::{self, Error, Options, Started, decline_retry_after};
@@ -54,7 +54,7 @@
 /// Returns when to retry if this entry is draining and the answer would not end before it stops.
 fn drain_retry_after(worker: &Worker, context: &Context) -> Option<Duration> {
     let (since, time_left) = worker.process.leaving()?;
-    let others = worker.fleet.has_others();
+    let others = worker.fleet.has_ready_peer();
     let state = State {
         peers_accept: others,
         draining_for: since,
@@ -164,7 +164,7 @@
         let now = self.worker.process.clock.now();
         self.worker
             .fleet
-            .share_refused(self.context.fingerprint, now.since(self.context.first_sent_at));
+            .announce_refusal(self.context.fingerprint, now.since(self.context.first_sent_at));
         // The caller needs the rest of its time for the answer.
         let max = self.context.time_left(now) / RETRY_AFTER_DIVISOR;
         let retry_after = refusal.retry_after.min(max);
--- a/crates/gateway/src/request/transfer.rs
+++ b/crates/gateway/src/request/transfer.rs
@@ -13,7 +13,7 @@
 
 use crate::connection::exchange::{self, Failure, Outgoing};
 use crate::platform::{Call, Copy, Moved, Platform};
-use crate::process::kept::Kept;
+use crate::process::copy_usage::CopyUsage;
 use crate::request::attempt::Error;
 use crate::request::{Context, Worker};
 
@@ -44,14 +44,14 @@
     /// The copy.
     pub(crate) copy: Copy,
     /// The memory counted for the copy.
-    reservation: Kept,
+    reservation: CopyUsage,
     /// Frees the copy unless the run resumes from it.
     cleanup: Cleanup,
 }
 
 impl Transferred {
     /// Keeps the copy, from which the run has resumed; returns the memory counted for it.
-    pub(crate) fn keep(mut self) -> Kept {
+    pub(crate) fn keep(mut self) -> CopyUsage {
         self.cleanup.call = None;
         self.reservation
     }
@@ -103,7 +103,7 @@
 ) -> Result<Transferred, Error> {
     let mut error = Error::NotRun("nowhere");
     for to in to.iter().take(MAX_DESTINATIONS) {
-        let reservation = Kept::open(&worker.process, &to.id, memory.get());
+        let reservation = CopyUsage::open(&worker.process, &to.id, memory.get());
         match try_transfer::<P>(worker, context, from, to.address, false).await {
             Ok(name) => {
                 return transfer_rest::<P>(worker, context, from, to, name, reservation).await;
@@ -122,7 +122,7 @@
     from: &Target,
     to: &Target,
     first: SmolStr,
-    reservation: Kept,
+    reservation: CopyUsage,
 ) -> Result<Transferred, Error> {
     let call = Some(P::drop_copy(&first));
     let cleanup = Cleanup { call, from: from.address, to: to.address };
--- a/crates/gateway/src/version/report.rs
+++ b/crates/gateway/src/version/report.rs
@@ -37,7 +37,7 @@
     ntex::rt::spawn(async move {
         loop {
             sleep(PAUSE).await;
-            if fleet.is_blind() {
+            if fleet.are_targets_unwatched() {
                 ask_all::<P>(&process, &fleet);
             }
         }
@@ -50,7 +50,8 @@
     let held = process.held().into_iter().filter(|held| held.streams > 0);
     let ready = held.filter(|held| process.is_target_ready(&held.target));
     let known = ready.filter_map(|held| process.target(&held.target));
-    let has_refuge = |t: &Target| process.lane(&t.service).is_some_and(|lane| lane.has_refuge());
+    let has_refuge =
+        |t: &Target| process.lane(&t.service).is_some_and(|lane| lane.has_spare_capacity());
     for target in known.filter(has_refuge) {
         let (process, fleet) = (Arc::clone(process), Arc::clone(fleet));
         ntex::rt::spawn(async move { ask::<P>(&process, &fleet, &target).await }).detach();
@@ -73,6 +74,6 @@
     }
     let since = process.targets_position();
     if let Some(change) = process.target_leaves(&target.id) {
-        fleet.share_changes(since, vec![change]);
+        fleet.announce_changes(since, vec![change]);
     }
 }
