--- a/crates/gateway/src/request/admission.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -38,9 +38,9 @@
     loop {
         let request = context.gate_request(avoid.cloned(), retry);
         let pass =
-            context.lane.admit(request).await.map_err(|refusal| log_refusal(context, refusal))?;
+            context.gate.admit(request).await.map_err(|refusal| log_refusal(context, refusal))?;
         if let Some((exclusion, wait)) = check_limit(worker, pass.target()).await {
-            context.lane.suspend_target(pass.target(), wait, exclusion);
+            context.gate.suspend_target(pass.target(), wait, exclusion);
             // The retry budget has been charged for this attempt already.
             retry = false;
             continue;
@@ -54,7 +54,7 @@
 
 /// Logs why targets were excluded.
 fn log_refusal(context: &Context, refusal: Refusal) -> Rejection {
-    let excluded = context.lane.exclusions();
+    let excluded = context.gate.exclusions();
     log::info!(
         request = context.facts.request.as_str(), reason:% = refusal.reason,
         excluded = excluded.as_str(); "no target takes it"
