--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -20,7 +20,7 @@
 use fireflyhoist_policy::version::{Stamp, Version};
 use fireflyhoist_text::transfer::{Message, Next};
 
-use crate::connection::frame::{Beat, Frame};
+use crate::connection::frame::{Frame, Heartbeat};
 use crate::process::fleet::Fleet;
 use crate::version::source;
 
@@ -57,7 +57,7 @@
 
 impl Fleet {
     /// Requests from a peer the text and the targets of its heartbeat that this entry lacks.
-    pub(super) fn catch_up(&self, from: &id::Host, beat: &Beat) {
+    pub(super) fn catch_up(&self, from: &id::Host, beat: &Heartbeat) {
         let (text, targets) = (self.process.revision(), self.process.listed_position());
         let (text_behind, targets_behind) = (beat.text > text, beat.targets > targets);
         let lagging = self.update_lag(from, text_behind, targets_behind);
@@ -95,7 +95,7 @@
 
     fn request_targets(&self, from: &id::Host, position: Position) {
         if self.target_fetch.lock().start(self.now(), from, position) {
-            self.links.send(from, &Frame::WantTargets);
+            self.links.send(from, &Frame::TargetsRequest);
         }
     }
 
--- a/crates/gateway/src/process/fleet/heartbeat.rs
+++ b/crates/gateway/src/process/fleet/heartbeat.rs
@@ -8,7 +8,7 @@
 use fireflyhoist_policy::observation::Observer;
 use ntex::time::sleep;
 
-use crate::connection::frame::{Beat, Ending, Frame, Held};
+use crate::connection::frame::{Frame, Heartbeat, Load, TargetOutcome};
 use crate::process::fleet::Fleet;
 
 impl Fleet {
@@ -18,18 +18,18 @@
         self.send_to_leaves();
     }
 
-    /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `endings`.
-    fn new_beat(&self, held: Vec<Held>) -> Beat {
-        Beat {
+    /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `outcomes`.
+    fn new_beat(&self, loads: Vec<Load>) -> Heartbeat {
+        Heartbeat {
             follows: false,
-            endings: Vec::new(),
+            outcomes: Vec::new(),
             ready: self.process.is_ready(),
             text: self.process.revision(),
             targets: self.process.listed_position(),
             cordons: self.process.cordon_news(),
-            registry: self.process.registry_works(),
+            registry_up: self.process.registry_works(),
             watching: self.process.is_watching(),
-            held,
+            loads,
         }
     }
 
@@ -39,23 +39,23 @@
         self.announce_limits();
         let (actives, _) = self.actives_and_leaves();
         let view = self.view();
-        let endings = self.process.take_endings();
+        let outcomes = self.process.take_endings();
         if self.is_active() {
             // Includes what leaves have in flight; other actives announce their own load.
-            let held = self.process.held_with(|host| !view.actives.contains(host));
-            let beat = Beat { endings, ..self.new_beat(held) };
-            self.links.send_all(actives.iter(), &Frame::Beat(beat));
+            let loads = self.process.held_with(|host| !view.actives.contains(host));
+            let beat = Heartbeat { outcomes, ..self.new_beat(loads) };
+            self.links.send_all(actives.iter(), &Frame::Heartbeat(beat));
             return;
         }
         let primary = view.links.first().map(|member| &member.host);
         let source = self.change_source();
         for active in &actives {
             // The load is sent to one active only, or it would be counted twice.
-            let held = if Some(active) == primary { self.process.held() } else { Vec::new() };
+            let loads = if Some(active) == primary { self.process.held() } else { Vec::new() };
             let follows = Some(active) == source.as_ref();
-            let endings = endings.clone();
-            let beat = Beat { follows, endings, ..self.new_beat(held) };
-            self.links.send(active, &Frame::Beat(beat));
+            let outcomes = outcomes.clone();
+            let beat = Heartbeat { follows, outcomes, ..self.new_beat(loads) };
+            self.links.send(active, &Frame::Heartbeat(beat));
         }
     }
 
@@ -71,8 +71,8 @@
     /// they have not changed.
     pub(super) fn send_first_beat(&self, to: &id::Host) {
         let cordons = self.process.cordon_word();
-        let beat = Beat { cordons, ..self.new_beat(Vec::new()) };
-        self.links.send(to, &Frame::Beat(beat));
+        let beat = Heartbeat { cordons, ..self.new_beat(Vec::new()) };
+        self.links.send(to, &Frame::Heartbeat(beat));
     }
 
     /// Sends a heartbeat to all linked leaves. Only leaves that have requests in flight get the load of
@@ -81,10 +81,10 @@
         let (_, leaves) = self.actives_and_leaves();
         let (busy, idle): (Vec<id::Host>, Vec<id::Host>) =
             leaves.into_iter().partition(|leaf| self.process.holds(leaf));
-        self.links.send_all(idle.iter(), &Frame::Beat(self.new_beat(Vec::new())));
+        self.links.send_all(idle.iter(), &Frame::Heartbeat(self.new_beat(Vec::new())));
         for leaf in &busy {
-            let held = self.process.held_with(|host| host != leaf);
-            self.links.send(leaf, &Frame::Beat(self.new_beat(held)));
+            let loads = self.process.held_with(|host| host != leaf);
+            self.links.send(leaf, &Frame::Heartbeat(self.new_beat(loads)));
         }
     }
 
@@ -112,29 +112,30 @@
         }
     }
 
-    fn apply_endings(&self, from: &id::Host, endings: Vec<Ending>) {
-        if endings.is_empty() {
+    fn apply_outcomes(&self, from: &id::Host, outcomes: Vec<TargetOutcome>) {
+        if outcomes.is_empty() {
             return;
         }
         let domain = self.peers.lock().get(from).map(|peer| peer.member.domain.clone());
         let Some(domain) = domain else { return };
-        self.process.hear_endings(&Observer { host: from.clone(), domain }, endings);
+        self.process.hear_endings(&Observer { host: from.clone(), domain }, outcomes);
     }
 
     /// Applies a heartbeat of another entry, and requests the text and targets that it has and this
     /// entry lacks.
-    pub(super) fn handle_beat(&self, from: &id::Host, mut beat: Beat) {
+    pub(super) fn handle_beat(&self, from: &id::Host, mut beat: Heartbeat) {
         self.catch_up(from, &beat);
-        self.apply_endings(from, std::mem::take(&mut beat.endings));
+        self.apply_outcomes(from, std::mem::take(&mut beat.outcomes));
         if let Some(update) = &beat.cordons {
             self.process.hear_cordons(update.clone());
         }
-        if self.process.set_other(from, Some(beat.held.clone())) {
+        if self.process.set_other(from, Some(beat.loads.clone())) {
             self.process.report();
         }
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(from) else { return };
-        let differs = |old: &Beat| old.registry != beat.registry || old.ready != beat.ready;
+        let differs =
+            |old: &Heartbeat| old.registry_up != beat.registry_up || old.ready != beat.ready;
         let view_changes = peer.beat.as_ref().is_none_or(differs);
         let previous = peer.beat.take().and_then(|old| old.cordons);
         beat.cordons = beat.cordons.or(previous);
--- a/crates/gateway/src/process/fleet/links.rs
+++ b/crates/gateway/src/process/fleet/links.rs
@@ -65,7 +65,7 @@
     fn announce_alive(&self) {
         let Some(update) = self.publisher.lock().update(self.announced()) else { return };
         let peers: Vec<id::Host> = self.peers.lock().keys().cloned().collect();
-        self.links.send_all(peers.iter(), &Frame::Alive(update));
+        self.links.send_all(peers.iter(), &Frame::Presence(update));
     }
 
     /// Returns the seeds to dial after the start, and later while this entry has no link.
@@ -123,7 +123,7 @@
             if address == self.own.peers {
                 continue;
             }
-            if self.links.reaches(address) {
+            if self.links.has_link_to(address) {
                 dialled.remove(&address);
                 continue;
             }
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -38,10 +38,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, mpsc};
 
-use crate::connection::frame::{Beat, Frame};
+use crate::connection::frame::{Frame, Heartbeat};
 use crate::connection::link::{Event, Links, Loss};
 use crate::process::fleet::catchup::{EncodedTargets, Lag};
-use crate::process::fleet::owner::PendingQuestions;
+use crate::process::fleet::owner::PendingPermits;
 use crate::process::migration::Coordinator;
 use crate::process::state::{Process, millis};
 
@@ -61,7 +61,7 @@
 struct Peer {
     member: Member,
     /// Its last heartbeat.
-    beat: Option<Beat>,
+    beat: Option<Heartbeat>,
     /// How long this entry's text has been older than that of the peer.
     text_lag: Lag,
     /// How long this entry's list of targets has been older than that of the peer.
@@ -78,7 +78,7 @@
     alive: Vec<Presence>,
     actives: BTreeSet<id::Host>,
     /// The actives that this entry links to. If it is a leaf, the first is its primary active,
-    /// which announces its in-flight requests and forwards its questions.
+    /// which announces its in-flight requests and forwards its permit requests.
     links: Vec<Member>,
 }
 
@@ -106,7 +106,7 @@
     encoded_targets: Mutex<Option<EncodedTargets>>,
     /// Notified after each computation of the view and when a link opens or closes.
     changed: Notify,
-    questions: PendingQuestions,
+    pending_permits: PendingPermits,
     pub(crate) migrations: Coordinator,
 }
 
@@ -122,7 +122,7 @@
             callers: settings.callers,
         };
         let (events, receiver) = mpsc::channel(BACKLOG);
-        let links = Links::open(own.clone(), process.metrics.traffic().clone(), events);
+        let links = Links::new(own.clone(), process.metrics.traffic().clone(), events);
         ntex::rt::spawn(Arc::clone(&links).listen(listener)).detach();
         let fleet = Arc::new(Self {
             started_at: process.clock.now(),
@@ -138,7 +138,7 @@
             target_fetch: Mutex::default(),
             encoded_targets: Mutex::default(),
             changed: Notify::new(),
-            questions: PendingQuestions::default(),
+            pending_permits: PendingPermits::default(),
             migrations: Coordinator::default(),
         });
         fleet.refresh();
@@ -180,7 +180,7 @@
     pub(crate) fn watcher_rank(&self) -> Option<usize> {
         let view = self.view();
         let peers = self.peers.lock();
-        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry);
+        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry_up);
         let active = |peer: &&Peer| view.actives.contains(&peer.member.host);
         let mut hosts: Vec<id::Host> =
             peers.values().filter(active).filter(works).map(|p| p.member.host.clone()).collect();
@@ -231,7 +231,7 @@
     /// that this entry lacks even if one of them failed.
     pub(crate) fn peers_reach_registry(&self) -> bool {
         let peers = self.peers.lock();
-        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry);
+        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry_up);
         peers.values().filter(works).count() >= 2
     }
 
@@ -242,7 +242,7 @@
 
     /// Returns whether this entry has links, and whether any linked entry has the data that `has`
     /// looks for in its last heartbeat.
-    pub(crate) fn peer_state(&self, has: impl Fn(&Beat) -> bool) -> Peers {
+    pub(crate) fn peer_state(&self, has: impl Fn(&Heartbeat) -> bool) -> Peers {
         let peers = self.peers.lock();
         if peers.is_empty() {
             return Peers::None;
@@ -272,7 +272,7 @@
         &self.own.host
     }
 
-    /// Returns the entry to which questions about a key are sent: the owner of the key if this
+    /// Returns the entry to which permit requests for a key are sent: the owner of the key if this
     /// entry is active, or else its primary active, which forwards them to the owner.
     pub(crate) fn owner(&self, key: &str) -> id::Host {
         let view = self.view();
@@ -295,12 +295,12 @@
 
     /// Requests a turn to migrate an answer from an engine, from the owner of the engine's queue.
     pub(crate) fn request_turn(&self, owner: &id::Host, engine: &id::Target, migration: Migration) {
-        self.send(owner, &Frame::TurnAsk { engine: engine.clone(), ask: migration });
+        self.send(owner, &Frame::MigrationRequest { engine: engine.clone(), migration });
     }
 
     /// Grants the turn of a request to the entry that asked for it.
     pub(crate) fn grant_turn(&self, entry: &id::Host, engine: &id::Target, request: &SmolStr) {
-        let frame = Frame::Turn { engine: engine.clone(), request: request.clone() };
+        let frame = Frame::MigrationGrant { engine: engine.clone(), request: request.clone() };
         self.send(entry, &frame);
     }
 
@@ -336,8 +336,7 @@
     pub(crate) fn announce_refusal(&self, fingerprint: Fingerprint, age: Duration) {
         self.process.note_refused(fingerprint, age);
         let (actives, _) = self.actives_and_leaves();
-        self.links
-            .send_all(actives.iter(), &Frame::Refused { print: fingerprint, age_ms: millis(age) });
+        self.links.send_all(actives.iter(), &Frame::Refused { fingerprint, age_ms: millis(age) });
     }
 
     fn view(&self) -> Arc<View> {
@@ -430,7 +429,7 @@
     fn link_down(&self, host: &id::Host, loss: Loss) {
         ::log::warn!(
             peer:% = host, reason = loss.reason.name(), frame_ms = millis(loss.frame_ago),
-            byte_ms = millis(loss.byte_ago), partial_bytes = loss.partial; "peer lost"
+            byte_ms = millis(loss.byte_ago), partial_bytes = loss.partial_bytes; "peer lost"
         );
         self.peers.lock().remove(host);
         self.abandon_requests(host);
@@ -442,27 +441,33 @@
     fn handle_frame(&self, from: &id::Host, frame: Frame) {
         match frame {
             Frame::Hello(_) => {}
-            Frame::Alive(update) => self.apply_alive(from, update),
-            Frame::WantAlive => self.send_alive(from),
-            Frame::Beat(beat) => self.handle_beat(from, beat),
+            Frame::Presence(update) => self.apply_alive(from, update),
+            Frame::PresenceRequest => self.send_alive(from),
+            Frame::Heartbeat(beat) => self.handle_beat(from, beat),
             Frame::Text(message) => self.handle_text_message(from, message),
-            Frame::WantTargets => self.send_targets(from),
+            Frame::TargetsRequest => self.send_targets(from),
             Frame::Poison(records) => self.apply_poison(from, records),
             Frame::Limits(updates) => self.apply_limits(from, updates),
-            Frame::Spent(update) => {
-                self.handle_spent(from, update.target.clone(), Frame::Spent(update));
+            Frame::LimitedSend(update) => {
+                self.handle_spent(from, update.target.clone(), Frame::LimitedSend(update));
             }
-            Frame::SpentCold(update) => {
+            Frame::ColdSend(update) => {
                 self.process.hear_cold(&update);
-                self.handle_spent(from, update.target.clone(), Frame::SpentCold(update));
+                self.handle_spent(from, update.target.clone(), Frame::ColdSend(update));
             }
-            Frame::Ask { ask, question } => self.handle_question(from, ask, question),
-            Frame::Answer { ask, wait_ms } => self.handle_answer(ask, wait_ms),
-            Frame::TurnAsk { engine, ask } => self.migrations.enqueue(self, from, &engine, ask),
-            Frame::Turn { engine, request } => self.migrations.grant(self, &engine, &request),
-            Frame::TurnDone { engine, request } => self.migrations.finish(self, &engine, &request),
-            Frame::Refused { print, age_ms } => {
-                self.process.note_refused(print, Duration::from_millis(age_ms));
+            Frame::PermitRequest { id, permit } => self.handle_permit_request(from, id, permit),
+            Frame::PermitReply { id, wait_ms } => self.handle_permit_reply(id, wait_ms),
+            Frame::MigrationRequest { engine, migration } => {
+                self.migrations.enqueue(self, from, &engine, migration);
+            }
+            Frame::MigrationGrant { engine, request } => {
+                self.migrations.grant(self, &engine, &request);
+            }
+            Frame::MigrationDone { engine, request } => {
+                self.migrations.finish(self, &engine, &request);
+            }
+            Frame::Refused { fingerprint, age_ms } => {
+                self.process.note_refused(fingerprint, Duration::from_millis(age_ms));
             }
             Frame::Targets { revision, targets } => {
                 self.target_fetch.lock().end();
@@ -498,7 +503,7 @@
     /// Sends one entry the full list of live entries, as announced to all others so far.
     fn send_alive(&self, to: &id::Host) {
         let snapshot = self.publisher.lock().snapshot();
-        self.links.send(to, &Frame::Alive(snapshot));
+        self.links.send(to, &Frame::Presence(snapshot));
     }
 
     /// Applies an update of the entries that a peer announces, or requests the full list if an
@@ -512,7 +517,7 @@
             Ok(()) => self.stale.notify_one(),
             Err(gap) => {
                 ::log::debug!(peer:% = from, error:% = gap; "presence update missed");
-                self.links.send(from, &Frame::WantAlive);
+                self.links.send(from, &Frame::PresenceRequest);
             }
         }
     }
--- a/crates/gateway/src/process/fleet/target_limits.rs
+++ b/crates/gateway/src/process/fleet/target_limits.rs
@@ -3,7 +3,7 @@
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::target_limit::Update;
 
-use crate::connection::frame::{Frame, Question};
+use crate::connection::frame::{Frame, Permit};
 use crate::process::fleet::Fleet;
 
 impl Fleet {
@@ -46,9 +46,9 @@
     /// owner of the target takes it from its token bucket.
     pub(crate) fn spend(&self, target: &id::Target) {
         let frame = match self.process.question(target) {
-            Some(Question::Cold(update)) => Frame::SpentCold(update),
-            Some(Question::Send(update)) => Frame::Spent(update),
-            Some(Question::Trial(_)) | None => return,
+            Some(Permit::ColdSend(update)) => Frame::ColdSend(update),
+            Some(Permit::LimitedSend(update)) => Frame::LimitedSend(update),
+            Some(Permit::Trial(_)) | None => return,
         };
         self.send(&self.owner(target.as_str()), &frame);
     }
--- a/crates/gateway/src/process/metrics.rs
+++ b/crates/gateway/src/process/metrics.rs
@@ -126,7 +126,7 @@
             ),
             open: gauge("fireflyhoist.open_requests", "Requests in progress"),
             revision: gauge("fireflyhoist.revision", "Revision of the text in force"),
-            traffic: Traffic::open(&meter),
+            traffic: Traffic::new(&meter),
             registry,
             _provider: provider,
         })
--- a/crates/gateway/src/process/migration.rs
+++ b/crates/gateway/src/process/migration.rs
@@ -65,7 +65,7 @@
     pub(crate) fn finish(&self, fleet: &Fleet, engine: &id::Target, request: &SmolStr) {
         let key = (engine.clone(), request.clone());
         if self.forwarded.lock().remove(&key).is_some() {
-            let frame = Frame::TurnDone { engine: key.0, request: key.1 };
+            let frame = Frame::MigrationDone { engine: key.0, request: key.1 };
             fleet.send(&fleet.owner(engine.as_str()), &frame);
             return;
         }
@@ -147,7 +147,8 @@
     fn drop(&mut self) {
         let key = (self.engine.clone(), self.request.clone());
         self.fleet.migrations.waiters.lock().remove(&key);
-        let frame = Frame::TurnDone { engine: self.engine.clone(), request: self.request.clone() };
+        let frame =
+            Frame::MigrationDone { engine: self.engine.clone(), request: self.request.clone() };
         self.fleet.send(&self.owner, &frame);
     }
 }
--- a/crates/gateway/tests/poison.rs
+++ b/crates/gateway/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end the targets that run them, and those that ran beside them.
+//! Quarantine of requests that crash the targets that run them, without effect on other requests.
 
 mod support;
 
@@ -9,21 +9,21 @@
 use fireflyhoist_policy::route::{Kind, Route};
 use fireflyhoist_standin::registry::Registry;
 use support::caller::{Answer, Request};
-use support::mortal::{self, Toll};
+use support::restarting::{self, Crashes};
 use support::target::{Seen, Step, event, events, stream_end, stream_head};
 use support::{eventually, route, text, unready, until_ready};
 use yare::parameterized;
 
 const RESUMABLE: Kind = Kind::Stream { resumable: true };
 
-/// The body of the request that ends what runs it.
+/// The body of the request that crashes the target that runs it.
 const POISON: &str = "poison";
 
-/// Sends that may still follow once three targets have ended.
-const MORE: usize = 3;
+/// Maximum number of sends of a request after it has crashed three targets.
+const MAX_LATE_SENDS: usize = 3;
 
-/// Between two callers that ask for the same.
-const PAUSE: Duration = Duration::from_millis(120);
+/// Interval between two callers that send the same request.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
 
 fn serve(seen: &Seen) -> Vec<Step> {
     let pause = Step::Wait(Duration::from_millis(30));
@@ -33,96 +33,100 @@
     }
 }
 
-struct World {
+struct Fleet {
     registry: Arc<Registry>,
-    toll: Toll,
+    crashes: Crashes,
     entries: Vec<Gateway>,
 }
 
-impl World {
-    /// Four targets behind so many entries.
+impl Fleet {
+    /// Starts four targets and `entries` entries.
     async fn open(entries: usize, kind: Kind) -> Self {
         let registry = Arc::new(Registry::open().await);
         let route = Route { attempts: 2, ..route("gen", kind) };
         registry.publish(text(1, vec![route]));
-        let toll = Toll::default();
+        let crashes = Crashes::default();
         for name in ["a", "b", "c", "d"] {
-            mortal::spawn(&registry, &toll, name, serve);
+            restarting::spawn(&registry, &crashes, name, serve);
         }
-        let mut world = Self { registry, toll, entries: Vec::new() };
+        let mut fleet = Self { registry, crashes, entries: Vec::new() };
         for _ in 0..entries {
-            world.join().await;
+            fleet.join().await;
         }
-        world
+        fleet
     }
 
-    /// Starts one more entry and waits until it knows the others.
+    /// Starts another entry and waits until the first entry lists all of them.
     async fn join(&mut self) {
         let name = format!("entry-{}", self.entries.len());
         let seeds: Vec<_> = self.entries.iter().map(Gateway::peers).collect();
         let entry = unready(self.registry.address(), &name, &seeds).await;
         until_ready(&entry).await;
         self.entries.push(entry);
-        let known = Request::get("/v1/entries?domain=hala-a");
+        let directory = Request::get("/v1/entries?domain=hala-a");
         let count = self.entries.len();
-        let all = async |answer: Answer| answer.body.matches("entry-").count() == count;
-        eventually(async || all(known.send(self.entries[0].directory()).await).await).await;
+        let lists_all = async |answer: Answer| answer.body.matches("entry-").count() == count;
+        eventually(async || lists_all(directory.send(self.entries[0].directory()).await).await)
+            .await;
     }
 
     async fn ask(&self, entry: usize, body: &str) -> Answer {
         Request::stream("/gen/x", 20).body(body).send(self.entries[entry].callers()).await
     }
 
-    /// Asks for the poison until three targets have ended and all entries have had time to hear.
-    async fn condemn(&self) {
+    /// Sends the poison request until three targets have crashed, then waits until all entries have
+    /// received the crashes.
+    async fn crash_until_suspect(&self) {
         for entry in (0..self.entries.len()).cycle() {
-            if self.toll.ends() >= 3 {
+            if self.crashes.count() >= 3 {
                 break;
             }
             self.ask(entry, POISON).await;
         }
-        tokio::time::sleep(PAUSE * 4).await;
+        tokio::time::sleep(REQUEST_INTERVAL * 4).await;
     }
 }
 
-/// Guards against a request that ends each target that runs it being sent to one after another.
+/// Guards against a request that crashes every target that runs it being sent to one target after
+/// another.
 #[parameterized(
     one_entry = { 1, RESUMABLE },
     two_entries = { 2, RESUMABLE },
-    two_entries_whole = { 2, Kind::Safe },
+    two_entries_safe = { 2, Kind::Safe },
     three_entries_unsafe = { 3, Kind::Unsafe },
 )]
 #[test_macro(ntex::test)]
-async fn a_request_that_ends_its_targets_is_sent_no_more(entries: usize, kind: Kind) {
-    let world = World::open(entries, kind).await;
-    world.condemn().await;
-    let ended = world.toll.ends();
+async fn a_request_that_crashes_its_targets_is_quarantined(entries: usize, kind: Kind) {
+    let fleet = Fleet::open(entries, kind).await;
+    fleet.crash_until_suspect().await;
+    let crashed = fleet.crashes.count();
     for nth in 0..10 {
-        world.ask(nth % entries, POISON).await;
-        tokio::time::sleep(PAUSE).await;
+        fleet.ask(nth % entries, POISON).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    let more = world.toll.ends() - ended;
-    assert!(more <= MORE, "{more} more targets ended");
-    let refused = world.ask(0, POISON).await;
+    let more = fleet.crashes.count() - crashed;
+    assert!(more <= MAX_LATE_SENDS, "{more} more targets crashed");
+    let refused = fleet.ask(0, POISON).await;
     assert_eq!(refused.status, 503, "{refused:?}");
     assert!(refused.body.contains("\"ran\":\"no\""), "{refused:?}");
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
-    let served = world.ask(entries - 1, "another").await;
+    let served = fleet.ask(entries - 1, "another").await;
     assert_eq!((served.status, served.body, served.whole), (200, events(1, 2), true));
 }
 
-/// Guards against an entry that has just joined sending what the others know to end targets.
+/// Guards against an entry that has just joined sending a request that the other entries know to
+/// crash targets.
 #[ntex::test]
-async fn an_entry_that_joins_is_told() {
-    let mut world = World::open(2, RESUMABLE).await;
-    world.condemn().await;
+async fn a_joining_entry_receives_the_suspects() {
+    let mut fleet = Fleet::open(2, RESUMABLE).await;
+    fleet.crash_until_suspect().await;
     for nth in 0..4 {
-        world.ask(nth % 2, POISON).await;
+        fleet.ask(nth % 2, POISON).await;
     }
-    let ended = world.toll.ends();
-    world.join().await;
+    let crashed = fleet.crashes.count();
+    fleet.join().await;
     for _ in 0..6 {
-        assert_eq!(world.ask(2, POISON).await.status, 503);
+        assert_eq!(fleet.ask(2, POISON).await.status, 503);
     }
-    assert_eq!(world.toll.ends(), ended);
+    assert_eq!(fleet.crashes.count(), crashed);
 }
