--- a/crates/gateway/src/process/metrics.rs
+++ b/crates/gateway/src/process/metrics.rs
@@ -13,7 +13,7 @@
 use prometheus::{Registry, TextEncoder};
 
 use crate::connection::traffic::Traffic;
-use crate::request::broken::Fate;
+use crate::request::liveness::Status;
 
 /// Bucket bounds of latency histograms in seconds, dense around the objectives in use.
 const LATENCY_BOUNDS_S: [f64; 12] =
@@ -144,9 +144,9 @@
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a run that broke off, by the fate of its target.
-    pub(crate) fn broken_run(&self, fate: Fate) {
-        self.broken_runs.add(1, &[KeyValue::new("target", fate.to_string())]);
+    /// Counts a run that broke off, by the status of its target.
+    pub(crate) fn broken_run(&self, status: Status) {
+        self.broken_runs.add(1, &[KeyValue::new("target", status.to_string())]);
     }
 
     /// Counts a decision on a request for a limited or cold target.
--- a/crates/gateway/src/process/serve.rs
+++ b/crates/gateway/src/process/serve.rs
@@ -90,7 +90,7 @@
     let builder = ntex::server::build().workers(WORKERS).disable_signals();
     let (process_handle, fleet_handle) = (Arc::clone(process), Arc::clone(fleet));
     let builder = builder.listen("callers", listeners.callers, async move |_| {
-        let worker = Worker::open(Arc::clone(&process_handle), Arc::clone(&fleet_handle));
+        let worker = Worker::new(Arc::clone(&process_handle), Arc::clone(&fleet_handle));
         HttpService::h1(async move |request: Request| {
             Ok::<_, io::Error>(request::serve::<P>(&worker, request).await)
         })
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -1,5 +1,5 @@
-//! A request with one answer: sent, and where that is allowed sent again, until the answer is
-//! whole.
+//! Requests without a streamed answer: sent, and retried if that is allowed, until an answer is
+//! complete.
 
 use std::time::Duration;
 
@@ -15,218 +15,224 @@
 use crate::connection::exchange::Failure;
 use crate::platform::Platform;
 use crate::process::service_gate::Pass;
-use crate::request::admit::{self, Stop};
-use crate::request::attempt::{self, Begun, Ended, Extra, come_back};
-use crate::request::{Inquiry, Worker, broken, end_to_end, held, refuse};
+use crate::request::admission::{self, Rejection};
+use crate::request::attempt::{self, Error, Options, Started, decline_retry_after};
+use crate::request::{Context, Worker, end_to_end, liveness, quarantine, refuse};
 
-/// The largest answer that is held. Answers are held until they are whole, since only then is one
-/// that breaks off known from one that is complete, and may be fetched again.
-const MAX_ANSWER: usize = 8 << 20;
+/// Maximum size of an answer in bytes. Answers are buffered until they are complete, so that a
+/// truncated one is detected and may be fetched again.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// The part of a route's objective after which an idempotent request is sent to a second target as
-/// well. A target that went silent then costs half of the objective, not the caller's patience.
-const HEDGE: f64 = 0.5;
+/// Fraction of a route's objective after which a safe request is hedged: sent to a second target as
+/// well. A target that does not respond then costs half of the objective instead of the caller's
+/// timeout.
+const HEDGE_DELAY_FRACTION: f64 = 0.5;
 
-/// Targets that are found gone for one request before it is given up; each costs up to the time
-/// that opening a connection may take.
-const UNREACHED: u32 = 4;
+/// Maximum number of attempts that fail before anything is sent and are retried. Each may take up
+/// to the connect timeout.
+const MAX_UNSENT: u32 = 4;
 
-/// A whole answer of a target.
-struct Whole {
+/// A complete answer of a target.
+struct Answer {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-struct Done {
+/// The result of one attempt.
+struct Finished {
     target: id::Target,
-    result: Result<Whole, Ended>,
+    result: Result<Answer, Error>,
 }
 
 /// Serves one request.
-pub(crate) async fn serve<P: Platform>(worker: &Worker, inquiry: &Inquiry) -> Response {
-    let request = &inquiry.facts.request;
-    let left = inquiry.left(worker.process.clock.now());
-    let mut run = Run {
+pub(crate) async fn serve<P: Platform>(worker: &Worker, context: &Context) -> Response {
+    let request = &context.facts.request;
+    let time_left = context.time_left(worker.process.clock.now());
+    let mut dispatch = Dispatch {
         worker,
-        inquiry,
-        sent: 0,
-        unreached: 0,
-        unknown: false,
-        doubtful: false,
-        arrived: false,
+        context,
+        attempts: 0,
+        unsent: 0,
+        may_have_run: false,
+        outcome_unknown: false,
+        reached_target: false,
         refusal: None,
-        held: None,
-        kept: None,
+        quarantine_wait: None,
+        server_error: None,
     };
-    // Told apart when time is up: a request of which no attempt may have run may come again.
-    let finished = timeout(left, run.play::<P>()).await.ok();
+    // On timeout, a request of which no attempt can have run is refused as safe to retry.
+    let finished = timeout(time_left, dispatch.run::<P>()).await.ok();
     match finished {
         Some(response) => response,
-        None if run.unknown => refuse::late(request),
-        None => refuse::declined(request, come_back(left)),
+        None if dispatch.may_have_run => refuse::timed_out(request),
+        None => refuse::declined(request, decline_retry_after(time_left)),
     }
 }
 
-struct Run<'a> {
+/// The progress of one request over its attempts.
+struct Dispatch<'a> {
     worker: &'a Worker,
-    inquiry: &'a Inquiry,
-    sent: u32,
-    /// Connections that did not come about.
-    unreached: u32,
-    /// Whether an attempt may be running, or have run.
-    unknown: bool,
-    /// Whether an attempt ended, and nobody knows whether it ran.
-    doubtful: bool,
-    /// Whether an attempt arrived at a target.
-    arrived: bool,
+    context: &'a Context,
+    /// Number of attempts that were sent.
+    attempts: u32,
+    /// Number of attempts that failed before anything was sent.
+    unsent: u32,
+    /// Whether an attempt may be running or may have run.
+    may_have_run: bool,
+    /// Whether an attempt ended without it being known whether it ran.
+    outcome_unknown: bool,
+    /// Whether an attempt may have reached a target.
+    reached_target: bool,
+    /// The last refusal of the gate.
     refusal: Option<Refusal>,
-    /// For how long it is held back.
-    held: Option<Duration>,
-    /// A failure that a target answered with, for the case that nothing better comes.
-    kept: Option<Whole>,
+    /// The time to wait if the request is quarantined.
+    quarantine_wait: Option<Duration>,
+    /// The last server error of a target, returned if no attempt succeeds.
+    server_error: Option<Answer>,
 }
 
-impl Run<'_> {
-    async fn play<P: Platform>(&mut self) -> Response {
+impl Dispatch<'_> {
+    async fn run<P: Platform>(&mut self) -> Response {
         let mut pending = FuturesUnordered::new();
-        let hedge = self.inquiry.route.objective.mul_f64(HEDGE);
+        let hedge_delay = self.context.route.objective.mul_f64(HEDGE_DELAY_FRACTION);
         let mut avoid = None;
-        let mut again = true;
+        let mut send_next = true;
         loop {
-            if std::mem::take(&mut again) && self.may_send() {
-                // One that is under way counts as arrived: it may be at its target by now.
-                let repeat = self.arrived || !pending.is_empty();
-                match admit::admit(self.worker, self.inquiry, avoid.as_ref(), repeat).await {
+            if std::mem::take(&mut send_next) && self.may_send() {
+                // An attempt in flight counts as one that has reached its target.
+                let retry = self.reached_target || !pending.is_empty();
+                match admission::admit(self.worker, self.context, avoid.as_ref(), retry).await {
                     Ok(pass) => {
                         avoid = Some(pass.target().clone());
-                        self.sent += 1;
-                        self.unknown = true;
-                        pending.push(one::<P>(self.worker, self.inquiry, pass));
+                        self.attempts += 1;
+                        self.may_have_run = true;
+                        pending.push(attempt_once::<P>(self.worker, self.context, pass));
                     }
-                    Err(Stop::Held(wait)) => self.held = Some(wait),
-                    Err(Stop::Refused(refusal)) => self.refusal = Some(refusal),
+                    Err(Rejection::Quarantined(wait)) => self.quarantine_wait = Some(wait),
+                    Err(Rejection::Refused(refusal)) => self.refusal = Some(refusal),
                 }
             }
-            let suspect = self.worker.process.ends(self.inquiry.print) > 0;
-            let may_hedge = self.inquiry.route.kind == Kind::Safe && self.sent == 1 && !suspect;
-            let done = tokio::select! {
-                done = pending.next() => done,
-                () = sleep(hedge), if may_hedge && !pending.is_empty() => {
-                    again = true;
+            let suspect = self.worker.process.ends(self.context.fingerprint) > 0;
+            let may_hedge = self.context.route.kind == Kind::Safe && self.attempts == 1 && !suspect;
+            let finished = tokio::select! {
+                finished = pending.next() => finished,
+                () = sleep(hedge_delay), if may_hedge && !pending.is_empty() => {
+                    send_next = true;
                     continue;
                 }
             };
-            let Some(done) = done else { return self.give_up() };
-            avoid = Some(done.target.clone());
-            if let Some(response) = self.settle(done, pending.is_empty()) {
+            let Some(finished) = finished else { return self.final_response() };
+            avoid = Some(finished.target.clone());
+            if let Some(response) = self.handle_result(finished, pending.is_empty()) {
                 return response;
             }
-            again = true;
+            send_next = true;
         }
     }
 
     fn may_send(&self) -> bool {
-        let more = self.sent < self.inquiry.route.attempts.max(1);
-        more && self.unreached <= UNREACHED && (!self.unknown || self.is_safe())
+        let more = self.attempts < self.context.route.attempts.max(1);
+        more && self.unsent <= MAX_UNSENT && (!self.may_have_run || self.is_idempotent())
     }
 
-    fn is_safe(&self) -> bool {
-        self.inquiry.route.kind.is_idempotent()
+    fn is_idempotent(&self) -> bool {
+        self.context.route.kind.is_idempotent()
     }
 
-    /// Takes in how an attempt ended; returns the caller's answer where that is final.
-    fn settle(&mut self, done: Done, last: bool) -> Option<Response> {
-        self.arrived |= !done.result.as_ref().is_err_and(Ended::is_unrun);
-        match done.result {
-            Ok(whole) if whole.status.is_server_error() && self.is_safe() => {
-                self.kept = Some(whole);
+    /// Handles the result of an attempt. Returns the response to the caller if that is final;
+    /// `last` is set if no other attempt is in flight.
+    fn handle_result(&mut self, finished: Finished, last: bool) -> Option<Response> {
+        self.reached_target |= !finished.result.as_ref().is_err_and(Error::did_not_run);
+        match finished.result {
+            Ok(answer) if answer.status.is_server_error() && self.is_idempotent() => {
+                self.server_error = Some(answer);
                 None
             }
-            Ok(whole) => Some(respond(whole)),
-            Err(Ended::Unsent(_) | Ended::Unrun(_)) => {
-                if matches!(done.result, Err(Ended::Unsent(_))) {
-                    // It does not count as an attempt.
-                    self.sent -= 1;
-                    self.unreached += 1;
+            Ok(answer) => Some(respond(answer)),
+            Err(Error::NotSent(_) | Error::NotRun(_)) => {
+                if matches!(finished.result, Err(Error::NotSent(_))) {
+                    // Nothing was sent, so this does not count as an attempt.
+                    self.attempts -= 1;
+                    self.unsent += 1;
                 } else {
-                    self.arrived = true;
+                    self.reached_target = true;
                 }
-                if last && !self.is_safe() {
-                    self.unknown = false;
+                if last && !self.is_idempotent() {
+                    self.may_have_run = false;
                 }
                 None
             }
-            Err(Ended::Unknown("late")) => Some(refuse::late(&self.inquiry.facts.request)),
-            Err(Ended::Unknown(_)) if self.is_safe() => {
-                self.doubtful = true;
+            Err(Error::Unknown("late")) => Some(refuse::timed_out(&self.context.facts.request)),
+            Err(Error::Unknown(_)) if self.is_idempotent() => {
+                self.outcome_unknown = true;
                 None
             }
-            Err(Ended::Unknown(_)) => Some(refuse::lost(&self.inquiry.facts.request)),
+            Err(Error::Unknown(_)) => Some(refuse::answer_lost(&self.context.facts.request)),
         }
     }
 
-    /// Nothing is under way and nothing more may be sent.
-    fn give_up(&mut self) -> Response {
-        let request = &self.inquiry.facts.request;
-        if let Some(whole) = self.kept.take() {
-            return respond(whole);
+    /// Returns the response when no attempt is in flight and no other may be sent.
+    fn final_response(&mut self) -> Response {
+        let request = &self.context.facts.request;
+        if let Some(answer) = self.server_error.take() {
+            return respond(answer);
         }
-        if self.doubtful {
-            return refuse::lost(request);
+        if self.outcome_unknown {
+            return refuse::answer_lost(request);
         }
-        if let Some(wait) = self.held {
-            return held::refuse(self.worker, self.inquiry, wait);
+        if let Some(wait) = self.quarantine_wait {
+            return quarantine::refuse(self.worker, self.context, wait);
         }
-        let left = self.inquiry.left(self.worker.process.clock.now());
-        let after = come_back(left);
+        let time_left = self.context.time_left(self.worker.process.clock.now());
+        let after = decline_retry_after(time_left);
         match self.refusal.take() {
             Some(refusal) => {
                 let retry_after = refusal.retry_after.min(after.max(Duration::from_millis(100)));
-                refuse::refusal(request, &Refusal { retry_after, ..refusal })
+                refuse::gate_refusal(request, &Refusal { retry_after, ..refusal })
             }
             None => refuse::declined(request, after),
         }
     }
 }
 
-async fn one<P: Platform>(worker: &Worker, inquiry: &Inquiry, pass: Pass) -> Done {
+async fn attempt_once<P: Platform>(worker: &Worker, context: &Context, pass: Pass) -> Finished {
     let target = pass.target().clone();
-    let result = fetch::<P>(worker, inquiry, &target).await;
+    let result = fetch::<P>(worker, context, &target).await;
     let outcome = match &result {
-        Ok(whole) if whole.status.is_server_error() => Outcome::ServerError,
+        Ok(answer) if answer.status.is_server_error() => Outcome::ServerError,
         Ok(_) => Outcome::Whole,
-        Err(ended) => ended.outcome(),
+        Err(error) => error.outcome(),
     };
     pass.finish(outcome);
     if result.is_ok() {
-        worker.process.note_whole(inquiry.print);
+        worker.process.note_whole(context.fingerprint);
     }
-    Done { target, result }
+    Finished { target, result }
 }
 
 async fn fetch<P: Platform>(
     worker: &Worker,
-    inquiry: &Inquiry,
+    context: &Context,
     target: &id::Target,
-) -> Result<Whole, Ended> {
-    let listed = worker.process.target(target).ok_or(Ended::Unrun("gone"))?;
-    let begun = attempt::begin::<P>(worker, inquiry, target, &Extra::default()).await?;
-    let Begun { mut response, sent } = begun;
-    let body = response.read_body(MAX_ANSWER).await.map_err(|failure| {
+) -> Result<Answer, Error> {
+    let listed = worker.process.target(target).ok_or(Error::NotRun("gone"))?;
+    let started = attempt::send::<P>(worker, context, target, &Options::default()).await?;
+    let Started { mut response, sent_at } = started;
+    let body = response.read_body(MAX_ANSWER_BYTES).await.map_err(|failure| {
         if matches!(failure, Failure::Broken { .. }) {
-            broken::Run::of(worker, inquiry, &listed, sent).spawn();
+            liveness::Check::new(worker, context, &listed, sent_at).spawn();
         }
-        Ended::Unknown("cut")
+        Error::Unknown("cut")
     })?;
-    Ok(Whole { status: response.status, headers: response.headers, body })
+    Ok(Answer { status: response.status, headers: response.headers, body })
 }
 
-/// Hands a target's answer on as it is.
-fn respond(whole: Whole) -> Response {
-    let mut response = Response::build(whole.status);
-    for (name, value) in &end_to_end(&whole.headers) {
+/// Forwards a target's answer to the caller.
+fn respond(answer: Answer) -> Response {
+    let mut response = Response::build(answer.status);
+    for (name, value) in &end_to_end(&answer.headers) {
         response.header(name.clone(), value.clone());
     }
-    response.body(whole.body)
+    response.body(answer.body)
 }
