--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -22,7 +22,7 @@
 
 use crate::connection::frame::{Frame, Heartbeat};
 use crate::process::fleet::Fleet;
-use crate::version::source;
+use crate::version::encoding;
 
 /// How long this entry may be behind a peer before it requests what is missing: a few heartbeats,
 /// in which changes that are on their way arrive, and a fraction of the 2 s within which a text or
@@ -58,7 +58,7 @@
 impl Fleet {
     /// Requests from a peer the text and the targets of its heartbeat that this entry lacks.
     pub(super) fn catch_up(&self, from: &id::Host, beat: &Heartbeat) {
-        let (text, targets) = (self.process.revision(), self.process.listed_position());
+        let (text, targets) = (self.process.revision(), self.process.target_list_position());
         let (text_behind, targets_behind) = (beat.text > text, beat.targets > targets);
         let lagging = self.update_lag(from, text_behind, targets_behind);
         let Some((text_lags, targets_lag)) = lagging else { return };
@@ -105,7 +105,7 @@
         let mut texts = self.texts.lock();
         let held = texts.version().map_or(0, |version| version.revision());
         if held < table.text().revision {
-            let source = source::write(table.text());
+            let source = encoding::encode(table.text());
             texts.hold(Version::of(table.text().revision, &source), &source);
         }
     }
@@ -145,9 +145,9 @@
     }
 
     fn adopt_text(&self, from: &id::Host, version: Version, whole: &str) {
-        match source::read(whole) {
+        match encoding::decode(whole) {
             Ok(text) => {
-                if self.process.adopt(text, "peer") {
+                if self.process.apply_text(text, "peer") {
                     self.texts.lock().hold(version, whole);
                 }
             }
--- a/crates/gateway/src/process/fleet/heartbeat.rs
+++ b/crates/gateway/src/process/fleet/heartbeat.rs
@@ -25,9 +25,9 @@
             outcomes: Vec::new(),
             ready: self.process.is_ready(),
             text: self.process.revision(),
-            targets: self.process.listed_position(),
-            cordons: self.process.cordon_news(),
-            registry_up: self.process.registry_works(),
+            targets: self.process.target_list_position(),
+            cordons: self.process.cordon_heartbeat_update(),
+            registry_up: self.process.is_registry_available(),
             watching: self.process.is_watching(),
             loads,
         }
@@ -39,10 +39,10 @@
         self.announce_limits();
         let (actives, _) = self.actives_and_leaves();
         let view = self.view();
-        let outcomes = self.process.take_endings();
+        let outcomes = self.process.take_outcomes();
         if self.is_active() {
             // Includes what leaves have in flight; other actives announce their own load.
-            let loads = self.process.held_with(|host| !view.actives.contains(host));
+            let loads = self.process.usage_with(|host| !view.actives.contains(host));
             let beat = Heartbeat { outcomes, ..self.new_beat(loads) };
             self.links.send_all(actives.iter(), &Frame::Heartbeat(beat));
             return;
@@ -51,7 +51,7 @@
         let source = self.change_source();
         for active in &actives {
             // The load is sent to one active only, or it would be counted twice.
-            let loads = if Some(active) == primary { self.process.held() } else { Vec::new() };
+            let loads = if Some(active) == primary { self.process.own_usage() } else { Vec::new() };
             let follows = Some(active) == source.as_ref();
             let outcomes = outcomes.clone();
             let beat = Heartbeat { follows, outcomes, ..self.new_beat(loads) };
@@ -70,7 +70,7 @@
     /// Sends the first heartbeat over a link that has just opened. It includes the cordons even if
     /// they have not changed.
     pub(super) fn send_first_beat(&self, to: &id::Host) {
-        let cordons = self.process.cordon_word();
+        let cordons = self.process.cordon_update();
         let beat = Heartbeat { cordons, ..self.new_beat(Vec::new()) };
         self.links.send(to, &Frame::Heartbeat(beat));
     }
@@ -80,10 +80,10 @@
     fn send_to_leaves(&self) {
         let (_, leaves) = self.actives_and_leaves();
         let (busy, idle): (Vec<id::Host>, Vec<id::Host>) =
-            leaves.into_iter().partition(|leaf| self.process.holds(leaf));
+            leaves.into_iter().partition(|leaf| self.process.has_usage(leaf));
         self.links.send_all(idle.iter(), &Frame::Heartbeat(self.new_beat(Vec::new())));
         for leaf in &busy {
-            let loads = self.process.held_with(|host| host != leaf);
+            let loads = self.process.usage_with(|host| host != leaf);
             self.links.send(leaf, &Frame::Heartbeat(self.new_beat(loads)));
         }
     }
@@ -95,7 +95,7 @@
         loop {
             let generation_sent = tokio::select! {
                 () = sleep(schedule.wait(self.now())) => false,
-                () = self.process.sent() => true,
+                () = self.process.heartbeat_requested() => true,
             };
             if generation_sent {
                 sleep(heartbeat::COALESCE_DELAY).await;
@@ -108,7 +108,7 @@
             if recipients == heartbeat::Recipients::All {
                 self.send_to_leaves();
             }
-            self.process.report();
+            self.process.report_usage();
         }
     }
 
@@ -118,7 +118,7 @@
         }
         let domain = self.peers.lock().get(from).map(|peer| peer.member.domain.clone());
         let Some(domain) = domain else { return };
-        self.process.hear_endings(&Observer { host: from.clone(), domain }, outcomes);
+        self.process.apply_outcomes(&Observer { host: from.clone(), domain }, outcomes);
     }
 
     /// Applies a heartbeat of another entry, and requests the text and targets that it has and this
@@ -127,10 +127,10 @@
         self.catch_up(from, &beat);
         self.apply_outcomes(from, std::mem::take(&mut beat.outcomes));
         if let Some(update) = &beat.cordons {
-            self.process.hear_cordons(update.clone());
+            self.process.apply_cordon_update(update.clone());
         }
-        if self.process.set_other(from, Some(beat.loads.clone())) {
-            self.process.report();
+        if self.process.set_peer_usage(from, Some(beat.loads.clone())) {
+            self.process.report_usage();
         }
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(from) else { return };
--- a/crates/gateway/src/process/fleet/owner.rs
+++ b/crates/gateway/src/process/fleet/owner.rs
@@ -101,7 +101,7 @@
         match &permit {
             Permit::Trial(record) => self.apply_poison(from, vec![record.clone()]),
             Permit::LimitedSend(update) => self.apply_limits(from, vec![update.clone()]),
-            Permit::ColdSend(update) => self.process.hear_cold(update),
+            Permit::ColdSend(update) => self.process.apply_cold_update(update),
         }
         let wait = self.decide(&permit);
         self.links.send(from, &Frame::PermitReply { id: number, wait_ms: wait.map(millis) });
--- a/crates/gateway/src/process/fleet/poison.rs
+++ b/crates/gateway/src/process/fleet/poison.rs
@@ -10,7 +10,7 @@
     /// Announces the records that have changed at this entry: all of them to the actives, and to
     /// leaves those that matter for admission.
     pub(super) fn announce_poison(&self) {
-        let changed = self.process.take_poison();
+        let changed = self.process.take_poison_updates();
         if changed.is_empty() {
             return;
         }
@@ -22,19 +22,19 @@
     /// Applies the records of another entry. An active forwards those that were new to it: records
     /// of an active to its leaves, records of a leaf to all.
     pub(super) fn apply_poison(&self, from: &id::Host, records: Vec<Record>) {
-        let new = self.process.hear_poison(records);
+        let new = self.process.apply_poison(records);
         if new.is_empty() || !self.is_active() {
             return;
         }
         match self.view().actives.contains(from) {
             true => self.send_poison_to_leaves(&new),
-            false => self.process.pass_on_poison(&new),
+            false => self.process.forward_poison(&new),
         }
     }
 
     /// Sends the known records over a link that has just opened.
     pub(super) fn send_poison(&self, to: &id::Host) {
-        let known = self.process.all_poison();
+        let known = self.process.poison_snapshot();
         if !known.is_empty() {
             self.links.send(to, &Frame::Poison(known));
         }
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -1,10 +1,10 @@
-//! The state that all requests of a process share, in shards under locks of their own.
+//! The state that all requests of a process share. Each part has a lock of its own.
 
 mod cordon;
-mod holdings;
-mod intake;
 mod poison;
+mod target_limits;
 mod targets;
+mod usage;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -34,27 +34,28 @@
 use crate::process::settings::{Bounds, Settings};
 use crate::process::state::poison::Poison;
 
-pub(crate) use poison::Inspection;
+pub(crate) use poison::CrashCheck;
 
-/// The part of the bound on retries per request that entries earn; the rest covers requests that
-/// are counted in another window than their retries.
-const RETRY_EARNED: f64 = 0.5;
+/// Share of the configured retry ratio that the entry's own successes earn. The rest leaves room
+/// for requests that are counted in another window than their retries.
+const RETRY_EARNED_SHARE: f64 = 0.5;
 
-/// After how long an entry that has just started knows the others: links are open and lists of who is
-/// alive told.
-pub(crate) const SETTLED: Duration = Duration::from_secs(2);
+/// Time after its start by which an entry is taken to know the other entries: links are open and
+/// lists of live members were exchanged.
+pub(crate) const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// How long a process counts as one that has just started.
-const STARTING: Duration = Duration::from_secs(1);
+/// Time after the start in which a process holds requests that it cannot serve yet.
+const STARTUP_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long a request waits for what a starting entry is about to be told: less than it would take to
-/// come back after a refusal.
-const WARM_UP: Duration = Duration::from_millis(300);
+/// Longest wait of a request for the initial state of a starting entry. It is shorter than a
+/// refusal and the caller's retry would take.
+const INITIAL_SYNC_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// After how long without a request an entry counts as idle: callers keep addresses for seconds.
-const IDLE: Duration = Duration::from_secs(3);
+/// Time without a request after which an entry is idle. Callers keep the addresses of entries for
+/// seconds.
+const IDLE_AFTER: Duration = Duration::from_secs(3);
 
-/// State of one process.
+/// Shared state of one entry process.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) settings: Settings,
@@ -64,40 +65,40 @@
     seeds: RwLock<Vec<std::net::SocketAddr>>,
     table: RwLock<Option<Arc<Table>>>,
     lanes: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
-    /// The entries that carry the traffic.
+    /// The active entries, which stagger their requests to an engine that has joined.
     order: Mutex<Order>,
     leases: Mutex<Leases>,
-    /// Failure domains that get nothing new.
+    /// Cordoned failure domains; their targets get no new requests.
     cordons: Mutex<Cordons>,
-    /// Tokens of copies that this entry had made, by the target that keeps them.
+    /// Tokens of the copies that this entry had engines make, by the target that holds them.
     copies: Mutex<HashMap<id::Target, u64>>,
-    /// Requests that any entry has refused lately.
-    refused: Mutex<Ledger>,
-    /// Requests under which targets ended.
+    /// Requests that any entry refused recently.
+    refusals: Mutex<Ledger>,
+    /// Requests that targets crashed on.
     poison: Poison,
-    /// What targets say they take.
-    intake: Mutex<Limits>,
-    /// What may still be sent to those, where this entry decides.
-    keeper: Mutex<Buckets>,
-    /// What other entries hold, by entry.
-    others: Mutex<HashMap<id::Host, Vec<Load>>>,
-    /// Changes whenever targets do, so that running answers look whether theirs leaves.
-    targets: watch::Sender<u64>,
-    /// Wakes the heartbeats when a generation was sent.
-    sent: Notify,
-    registry: AtomicBool,
-    /// How often the registry is known to have come back from a copy.
+    /// Request rates that targets advertise.
+    target_limits: Mutex<Limits>,
+    /// Token buckets of limited targets, used for the targets that this entry decides for.
+    buckets: Mutex<Buckets>,
+    /// Memory that other entries use at targets, by entry.
+    peer_usage: Mutex<HashMap<id::Host, Vec<Load>>>,
+    /// Bumped whenever targets change, so that running answers check whether their target drains.
+    target_changes: watch::Sender<u64>,
+    /// Makes the next heartbeat go out early.
+    early_heartbeat: Notify,
+    registry_available: AtomicBool,
+    /// Number of restores of the registry from an older copy that are known here.
     era: AtomicU64,
-    /// Whether its latest watch of targets succeeded.
+    /// Whether the latest watch of targets succeeded.
     watching: AtomicBool,
-    /// Since when it leaves.
-    leaving: OnceLock<Time>,
-    listed: AtomicBool,
-    open: AtomicUsize,
-    /// The most entries that were seen to carry the traffic.
-    actives: AtomicUsize,
-    /// When the latest request came.
-    begun: Mutex<Time>,
+    /// When the process began to leave.
+    leaving_since: OnceLock<Time>,
+    target_list_known: AtomicBool,
+    open_requests: AtomicUsize,
+    /// Highest number of active entries seen so far.
+    max_active_entries: AtomicUsize,
+    /// When the latest request arrived.
+    latest_request: Mutex<Time>,
 }
 
 impl Process {
@@ -113,26 +114,28 @@
             leases: Mutex::default(),
             cordons: Mutex::default(),
             copies: Mutex::default(),
-            refused: Mutex::default(),
+            refusals: Mutex::default(),
             poison: Poison::default(),
-            intake: Mutex::default(),
-            keeper: Mutex::new(Buckets::with_membership_known_at(Time::ZERO + SETTLED)),
-            others: Mutex::default(),
-            targets: watch::channel(0).0,
-            sent: Notify::new(),
-            registry: AtomicBool::new(false),
+            target_limits: Mutex::default(),
+            buckets: Mutex::new(Buckets::with_membership_known_at(
+                Time::ZERO + MEMBERSHIP_SETTLE_TIME,
+            )),
+            peer_usage: Mutex::default(),
+            target_changes: watch::channel(0).0,
+            early_heartbeat: Notify::new(),
+            registry_available: AtomicBool::new(false),
             era: AtomicU64::new(0),
             watching: AtomicBool::new(false),
-            leaving: OnceLock::new(),
-            listed: AtomicBool::new(false),
-            open: AtomicUsize::new(0),
-            actives: AtomicUsize::new(0),
-            begun: Mutex::new(Time::ZERO),
+            leaving_since: OnceLock::new(),
+            target_list_known: AtomicBool::new(false),
+            open_requests: AtomicUsize::new(0),
+            max_active_entries: AtomicUsize::new(0),
+            latest_request: Mutex::new(Time::ZERO),
             settings,
         }))
     }
 
-    /// Takes over settings that may change; returns whether any did.
+    /// Applies the settings that may change at run time; returns whether any of them changed.
     pub(crate) fn reload(&self, settings: Settings) -> bool {
         let changed =
             *self.bounds.read() != settings.bounds || *self.seeds.read() != settings.seeds;
@@ -149,21 +152,23 @@
         self.seeds.read().clone()
     }
 
-    /// The text in force.
+    /// The configuration text in force.
     pub(crate) fn table(&self) -> Option<Arc<Table>> {
         self.table.read().clone()
     }
 
-    /// The revision of the text in force; 0 before the first.
+    /// The revision of the text in force; 0 before the first text.
     pub(crate) fn revision(&self) -> u64 {
         self.table.read().as_ref().map_or(0, |table| table.text().revision)
     }
 
-    /// Puts a text in force if it is newer than the one that is.
+    /// Puts a text in force if it is the first one or its revision is higher than that of the
+    /// current one; returns whether it did.
     ///
-    /// Readings overtake each other: of the registry, of peers, of a registry that serves stale
-    /// ones. The highest revision wins and none goes back, so their order doesn't matter.
-    pub(crate) fn adopt(&self, text: Text, source: &str) -> bool {
+    /// Texts arrive out of order: from the registry, from peers and from a registry that serves
+    /// stale data. The highest revision wins and a lower one is never applied, so their order does
+    /// not matter.
+    pub(crate) fn apply_text(&self, text: Text, source: &str) -> bool {
         let revision = text.revision;
         let mut table = self.table.write();
         let before = table.as_ref().map_or(0, |table| table.text().revision);
@@ -174,7 +179,7 @@
         *table = Some(Arc::clone(&new));
         drop(table);
         self.open_lanes(&new);
-        self.refresh();
+        self.refresh_lanes();
         ::log::info!(
             revision = revision, before = before, source = source,
             routes = new.text().routes.len(); "text in force"
@@ -187,12 +192,13 @@
         let mut lanes = self.lanes.write();
         for service in &table.text().services {
             let lane = lanes.entry(service.name.clone());
-            lane.or_insert_with(|| ServiceGate::with_settings(self.clock, self.terms()))
+            lane.or_insert_with(|| ServiceGate::with_settings(self.clock, self.gate_settings()))
                 .set_order(order.clone());
         }
     }
 
-    /// Takes in which entries carry the traffic.
+    /// Sets the active entries among which requests to a joined engine are staggered, and passes
+    /// them to the lanes.
     pub(crate) fn set_order(&self, order: Order) {
         let mut known = self.order.lock();
         if *known == order {
@@ -203,25 +209,29 @@
         self.lanes.read().values().for_each(|lane| lane.set_order(order.clone()));
     }
 
-    /// Notes how many entries carry the traffic, among which the bound on retries is divided; it is never
-    /// divided among fewer again.
-    pub(crate) fn set_actives(&self, count: usize) {
-        if self.actives.fetch_max(count, Ordering::AcqRel) < count {
-            let terms = self.retries();
-            self.lanes.read().values().for_each(|lane| lane.set_retries(terms));
+    /// Sets the number of active entries, by which the limit on retries is divided. The divisor is
+    /// the highest count seen and never falls.
+    pub(crate) fn set_active_entries(&self, count: usize) {
+        if self.max_active_entries.fetch_max(count, Ordering::AcqRel) < count {
+            let limits = self.retry_limits();
+            self.lanes.read().values().for_each(|lane| lane.set_retries(limits));
         }
     }
 
-    fn retries(&self) -> retry::Limits {
+    fn retry_limits(&self) -> retry::Limits {
         let bounds = self.bounds();
-        let earned = bounds.retry_ratio * RETRY_EARNED;
-        retry::Limits::share(earned, bounds.retry_burst, self.actives.load(Ordering::Acquire))
-    }
-
-    fn terms(&self) -> gate::Settings {
-        let retries = self.retries();
-        // Entries tell each other several times a second what they hold, so none has to keep to a
-        // share of an old report.
+        let earned = bounds.retry_ratio * RETRY_EARNED_SHARE;
+        retry::Limits::share(
+            earned,
+            bounds.retry_burst,
+            self.max_active_entries.load(Ordering::Acquire),
+        )
+    }
+
+    fn gate_settings(&self) -> gate::Settings {
+        let retries = self.retry_limits();
+        // Entries report to each other several times a second what they hold, so no entry has to
+        // keep to its share of an old report.
         gate::Settings {
             share: false,
             charge_overnight: true,
@@ -237,31 +247,33 @@
         self.lanes.read().get(service).cloned()
     }
 
-    /// Notes that a generation was sent, which the other entries should learn of soon.
-    pub(crate) fn note_sent(&self) {
-        self.sent.notify_one();
+    /// Requests an early heartbeat, so that other entries learn of a change without waiting for the
+    /// next regular one.
+    pub(crate) fn request_heartbeat(&self) {
+        self.early_heartbeat.notify_one();
     }
 
-    /// Waits until a generation was sent.
-    pub(crate) async fn sent(&self) {
-        self.sent.notified().await;
+    /// Waits until an early heartbeat is requested.
+    pub(crate) async fn heartbeat_requested(&self) {
+        self.early_heartbeat.notified().await;
     }
 
-    /// Notes that a request was refused, here or by another entry, which has been wanted for `age`.
-    pub(crate) fn note_refused(&self, print: Fingerprint, age: Duration) {
+    /// Records that this or another entry refused a request which was first submitted `age` ago.
+    pub(crate) fn record_refusal(&self, fingerprint: Fingerprint, age: Duration) {
         let now = self.clock.now();
-        self.refused.lock().record(now, print, now - age);
+        self.refusals.lock().record(now, fingerprint, now - age);
     }
 
-    /// Since when a request has been wanted that comes back after a refusal.
-    pub(crate) fn wanted_since(&self, print: Fingerprint) -> Option<Time> {
-        self.refused.lock().since(self.clock.now(), print)
+    /// When a request that is submitted again after a refusal was submitted first; `None` where no
+    /// refusal is known.
+    pub(crate) fn first_submitted(&self, fingerprint: Fingerprint) -> Option<Time> {
+        self.refusals.lock().since(self.clock.now(), fingerprint)
     }
 
-    /// Notes how the latest call of the registry went; logs each loss and return.
-    pub(crate) fn set_registry(&self, works: bool) {
-        if self.registry.swap(works, Ordering::AcqRel) != works {
-            if works {
+    /// Records whether the latest registry call succeeded; logs each loss and each recovery.
+    pub(crate) fn set_registry_available(&self, available: bool) {
+        if self.registry_available.swap(available, Ordering::AcqRel) != available {
+            if available {
                 ::log::info!("registry answers");
             } else {
                 ::log::warn!("registry lost; serving what is known");
@@ -269,13 +281,13 @@
         }
     }
 
-    pub(crate) fn registry_works(&self) -> bool {
-        self.registry.load(Ordering::Acquire)
+    pub(crate) fn is_registry_available(&self) -> bool {
+        self.registry_available.load(Ordering::Acquire)
     }
 
-    /// Notes how often the registry says, or peers know, that it came back from a copy; returns whether
-    /// that is news.
-    pub(crate) fn note_era(&self, era: u64, source: &str) -> bool {
+    /// Raises the registry's era, as the registry or peers report it: the number of times it was
+    /// restored from an older copy. Returns whether the era is new here.
+    pub(crate) fn raise_era(&self, era: u64, source: &str) -> bool {
         let before = self.era.fetch_max(era, Ordering::AcqRel);
         if era > before {
             self.metrics.registry_restore();
@@ -287,18 +299,18 @@
         era > before
     }
 
-    /// How often the registry is known to have come back from a copy.
+    /// The highest registry era known, which is the number of its restores from an older copy.
     pub(crate) fn era(&self) -> u64 {
         self.era.load(Ordering::Acquire)
     }
 
-    /// Notes that something of an earlier era was not taken.
-    pub(crate) fn refuse_older(&self, known: Position, told: Position, source: &str) {
+    /// Counts and logs a list of targets that was refused because it is of an earlier era.
+    pub(crate) fn record_refused_list(&self, known: Position, refused: Position, source: &str) {
         self.metrics.older_era_refused();
-        ::log::info!(known:% = known, told:% = told, source = source; "targets of an earlier era refused");
+        ::log::info!(known:% = known, told:% = refused, source = source; "targets of an earlier era refused");
     }
 
-    /// Notes whether this entry hears of targets from the registry.
+    /// Records whether this entry itself watches targets at the registry.
     pub(crate) fn set_watching(&self, watches: bool) {
         self.watching.store(watches, Ordering::Release);
     }
@@ -307,76 +319,80 @@
         self.watching.load(Ordering::Acquire)
     }
 
-    /// Takes no new callers from now on.
+    /// Starts to leave: from now on new callers are sent to other entries.
     pub(crate) fn leave(&self) {
-        self.leaving.get_or_init(|| self.clock.now());
+        self.leaving_since.get_or_init(|| self.clock.now());
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.get().is_some()
+        self.leaving_since.get().is_some()
     }
 
-    /// For how long it has been leaving, and how long it may still run.
-    pub(crate) fn leaving(&self) -> Option<(Duration, Duration)> {
-        let since = self.clock.now().since(*self.leaving.get()?);
+    /// How long the process has been leaving and how long it may still run; `None` where it does
+    /// not leave.
+    pub(crate) fn leave_times(&self) -> Option<(Duration, Duration)> {
+        let since = self.clock.now().since(*self.leaving_since.get()?);
         Some((since, self.bounds().grace().saturating_sub(since)))
     }
 
-    /// Whether callers are well served here: all that decides is known, and it stays.
+    /// Whether this entry is ready for callers: it has all state that decisions need and is not
+    /// leaving.
     pub(crate) fn is_ready(&self) -> bool {
-        self.is_informed() && !self.is_leaving()
+        self.has_synced() && !self.is_leaving()
     }
 
-    /// Whether a text, targets and cordons are known.
-    fn is_informed(&self) -> bool {
-        self.revision() > 0 && self.is_listed() && self.knows_cordons()
+    /// Whether a text, a list of targets and the cordons are known.
+    fn has_synced(&self) -> bool {
+        self.revision() > 0 && self.has_target_list() && self.knows_cordons()
     }
 
-    /// Holds a request while this process has just started and is about to be told what it needs.
-    pub(crate) async fn warm_up(&self) {
+    /// Holds a request until the initial state is there, for a limited time and only right after
+    /// the start.
+    pub(crate) async fn wait_for_initial_sync(&self) {
         let age = self.clock.now().since(Time::ZERO);
-        if self.is_informed() || age >= STARTING {
+        if self.has_synced() || age >= STARTUP_WINDOW {
             return;
         }
         let mut changes = self.watch_targets();
-        let informed = async {
-            // Its sender lives as long as the process.
-            while !self.is_informed() && changes.changed().await.is_ok() {}
+        let synced = async {
+            // The sender lives as long as the process, so `changed` returns no error here.
+            while !self.has_synced() && changes.changed().await.is_ok() {}
         };
-        // Whoever is still not informed then refuses.
-        let _ = timeout(WARM_UP, informed).await;
+        // After the timeout the request is refused by the later checks.
+        let _ = timeout(INITIAL_SYNC_TIMEOUT, synced).await;
     }
 
-    /// Whether it had no request for [`IDLE`].
+    /// Whether no request is open and none has arrived for [`IDLE_AFTER`].
     pub(crate) fn is_idle(&self) -> bool {
-        self.open_requests() == 0 && self.clock.now().since(*self.begun.lock()) >= IDLE
+        self.open_requests() == 0
+            && self.clock.now().since(*self.latest_request.lock()) >= IDLE_AFTER
     }
 
     pub(crate) fn open_requests(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+        self.open_requests.load(Ordering::Acquire)
     }
 
-    /// Counts a request in progress until the guard is dropped.
-    pub(crate) fn begin(self: &Arc<Self>) -> Open {
-        self.open.fetch_add(1, Ordering::AcqRel);
-        *self.begun.lock() = self.clock.now();
-        Open { process: Arc::clone(self) }
+    /// Counts a request as open until the returned guard is dropped.
+    pub(crate) fn start_request(self: &Arc<Self>) -> RequestGuard {
+        self.open_requests.fetch_add(1, Ordering::AcqRel);
+        *self.latest_request.lock() = self.clock.now();
+        RequestGuard { process: Arc::clone(self) }
     }
 }
 
-/// A request in progress; a drain waits for it.
+/// Counts as one open request until it is dropped; a leaving process waits for open requests.
 #[derive(Debug)]
-pub(crate) struct Open {
+pub(crate) struct RequestGuard {
     process: Arc<Process>,
 }
 
-impl Drop for Open {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.process.open.fetch_sub(1, Ordering::AcqRel);
+        self.process.open_requests.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Milliseconds for log lines.
+/// Whole milliseconds for log lines and messages; saturates at `u64::MAX`.
 pub(crate) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -1,4 +1,4 @@
-//! Targets as they are listed, change and leave.
+//! The list of targets: how it is read, changed and passed to the lanes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,18 +15,19 @@
 use crate::process::state::Process;
 
 impl Process {
+    /// Lets lanes act on the time and drops targets and cordons that have expired.
     pub(crate) fn poll_lanes(&self) {
         self.lanes.read().values().for_each(|lane| lane.poll());
         let now = self.clock.now();
         if self.leases.lock().expire(now) {
-            ::log::info!("targets still missing after an outage are gone");
-            self.refresh();
+            ::log::info!("targets still missing after a registry outage were removed");
+            self.refresh_lanes();
         }
         self.expire_cordons();
     }
 
-    /// How requests ended at targets, as far as other entries should hear of it.
-    pub(crate) fn take_endings(&self) -> Vec<TargetOutcome> {
+    /// Takes the outcomes of requests at targets that are due to be sent to other entries.
+    pub(crate) fn take_outcomes(&self) -> Vec<TargetOutcome> {
         let lanes = self.lanes.read();
         let of = |(service, lane): (&id::Service, &Arc<ServiceGate>)| {
             let service = service.clone();
@@ -40,8 +41,8 @@
         lanes.iter().flat_map(of).collect()
     }
 
-    /// Takes in how requests of another entry ended.
-    pub(crate) fn hear_endings(&self, from: &Observer, endings: Vec<TargetOutcome>) {
+    /// Applies the outcomes that another entry observed.
+    pub(crate) fn apply_outcomes(&self, from: &Observer, endings: Vec<TargetOutcome>) {
         let lanes = self.lanes.read();
         for ending in endings {
             if let Some(lane) = lanes.get(&ending.service) {
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Hands the targets known now to the lanes and wakes running answers.
-    pub(super) fn refresh(&self) {
+    /// Passes the current targets to the lanes and wakes running answers.
+    pub(super) fn refresh_lanes(&self) {
         let lanes = self.lanes.read();
         let mut leases = self.leases.lock();
         for target in leases.take_restarted() {
@@ -65,61 +66,69 @@
             drop(cordons);
             lane.set_targets_and_cordons(targets, &cordoned);
         }
-        self.keep_limits(&leases);
-        self.settle_doubts(&leases);
+        self.retain_limits(&leases);
+        self.confirm_crashes(&leases);
         drop(leases);
         drop(lanes);
-        self.targets.send_modify(|count| *count += 1);
+        self.target_changes.send_modify(|count| *count += 1);
     }
 
-    /// Takes in a list of all targets.
-    pub(crate) fn list_targets(&self, at: Position, targets: Vec<Target>, source: &str) -> bool {
+    /// Applies a full list of targets; returns whether it changed anything. A list of an earlier
+    /// era is refused.
+    pub(crate) fn apply_target_list(
+        &self,
+        at: Position,
+        targets: Vec<Target>,
+        source: &str,
+    ) -> bool {
         let now = self.clock.now();
-        self.listed.store(true, Ordering::Release);
-        self.note_era(at.era(), source);
+        self.target_list_known.store(true, Ordering::Release);
+        self.raise_era(at.era(), source);
         let count = targets.len();
         let mut leases = self.leases.lock();
         let known = leases.position();
         if known.has_later_era_than(at) {
             drop(leases);
-            self.refuse_older(known, at, source);
+            self.record_refused_list(known, at, source);
             return false;
         }
         let changed = leases.apply_list(now, at, targets);
         drop(leases);
         if changed {
             ::log::info!(revision:% = at, listed = count, source = source; "targets listed");
-            self.refresh();
+            self.refresh_lanes();
         }
         changed
     }
 
-    /// Takes in single changes of targets; returns those that were news.
-    pub(crate) fn change_targets(&self, at: Position, changes: Vec<Change>) -> Vec<Change> {
+    /// Applies changes of targets; returns those that were new.
+    pub(crate) fn apply_target_changes(&self, at: Position, changes: Vec<Change>) -> Vec<Change> {
         let now = self.clock.now();
-        let news = self.leases.lock().apply_changes(now, at, changes);
-        for change in &news {
+        let new = self.leases.lock().apply_changes(now, at, changes);
+        for change in &new {
             let line = describe(change);
             ::log::info!(revision:% = at, change = line.as_str(); "target changed");
         }
-        if !news.is_empty() {
-            self.refresh();
+        if !new.is_empty() {
+            self.refresh_lanes();
         }
-        news
+        new
     }
 
-    /// Notes that a target itself says that it leaves; returns what is to be told to others.
-    pub(crate) fn target_leaves(&self, target: &id::Target) -> Option<Change> {
+    /// Marks a target as draining because it says so itself; returns the change for other entries,
+    /// `None` where it is not new.
+    pub(crate) fn mark_target_draining(&self, target: &id::Target) -> Option<Change> {
         let left = {
             let mut leases = self.leases.lock();
             leases.mark_draining(target).then(|| leases.get(target).cloned())?
         };
         ::log::info!(target:% = target; "target says that it leaves");
-        self.refresh();
+        self.refresh_lanes();
         left.map(Change::Put)
     }
 
-    pub(crate) fn outage_over(&self) {
+    /// Starts the grace time of leases after an outage of the registry.
+    pub(crate) fn start_lease_grace(&self) {
         self.leases.lock().start_grace(self.clock.now());
     }
 
@@ -131,14 +140,15 @@
         self.leases.lock().is_ready(id)
     }
 
-    /// The other targets of a target's failure domain.
-    pub(crate) fn neighbours(&self, id: &id::Target) -> BTreeSet<id::Target> {
+    /// The other targets in a target's failure domain.
+    pub(crate) fn same_domain_targets(&self, id: &id::Target) -> BTreeSet<id::Target> {
         let leases = self.leases.lock();
         let Some(own) = leases.get(id) else { return BTreeSet::new() };
         let near = leases.all().filter(|t| t.domain == own.domain && t.id != own.id);
         near.map(|target| target.id.clone()).collect()
     }
 
+    /// The targets and the position of their list.
     pub(crate) fn targets(&self) -> (Position, Vec<Target>) {
         let leases = self.leases.lock();
         (leases.position(), leases.snapshot(self.clock.now()))
@@ -148,20 +158,21 @@
         self.leases.lock().position()
     }
 
-    /// Where its list of targets stands; `None` before the first.
+    /// The position of the list of targets; `None` before the first list.
     ///
-    /// A list without any target leaves the position at 0, so that alone doesn't tell the two apart.
-    pub(crate) fn listed_position(&self) -> Option<Position> {
-        self.is_listed().then(|| self.targets_position())
+    /// An empty list leaves the position at 0, so the position alone does not tell whether there
+    /// was a list.
+    pub(crate) fn target_list_position(&self) -> Option<Position> {
+        self.has_target_list().then(|| self.targets_position())
     }
 
-    pub(crate) fn is_listed(&self) -> bool {
-        self.listed.load(Ordering::Acquire)
+    pub(crate) fn has_target_list(&self) -> bool {
+        self.target_list_known.load(Ordering::Acquire)
     }
 
-    /// Wakes whenever targets change.
+    /// Returns a receiver that is notified whenever targets change.
     pub(crate) fn watch_targets(&self) -> watch::Receiver<u64> {
-        self.targets.subscribe()
+        self.target_changes.subscribe()
     }
 }
 
--- a/crates/gateway/src/request/entries.rs
+++ b/crates/gateway/src/request/entries.rs
@@ -20,7 +20,7 @@
 /// Responds with the entries that accept callers now, those in the caller's failure domain first.
 pub(crate) fn answer<P: Platform>(fleet: &Fleet, request: &Request) -> Response {
     let query = request.uri().query().unwrap_or("");
-    let Some(domain) = P::asks_entries(request.path(), query) else {
+    let Some(domain) = P::entries_query(request.path(), query) else {
         return Response::NotFound().finish();
     };
     let mut members = fleet.ready_members();
@@ -34,6 +34,6 @@
     if entries.is_empty() {
         return Response::ServiceUnavailable().finish();
     }
-    let body = P::entries(&entries, TTL.min(fleet.entries_ttl()));
+    let body = P::encode_entries(&entries, TTL.min(fleet.entries_ttl()));
     Response::Ok().content_type("application/json").body(body)
 }
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -32,7 +32,7 @@
 use ntex::util::{Bytes, BytesMut};
 use smol_str::SmolStr;
 
-use crate::platform::{Facts, Platform};
+use crate::platform::{Platform, RequestInfo};
 use crate::process::fleet::Fleet;
 use crate::process::service_gate::ServiceGate;
 use crate::process::state::{Process, millis};
@@ -72,7 +72,7 @@
 
 /// A request that may be served, with its route, service and deadlines.
 pub(crate) struct Context {
-    pub(crate) facts: Facts,
+    pub(crate) facts: RequestInfo,
     pub(crate) table: Arc<Table>,
     pub(crate) route: Route,
     pub(crate) service: Service,
@@ -110,14 +110,14 @@
         let workspace = self.workspace.clone().unwrap_or_else(public_workspace);
         let class = if migration::is_long(self) { Class::Overnight } else { Class::Live };
         let (class, limit) = match self.route.kind.is_stream() && self.service.engine.is_some() {
-            true => (class, self.facts.limit),
+            true => (class, self.facts.max_tokens),
             false => (Class::Lookup, Default::default()),
         };
         gate::Request {
             id: id::Request::new(rand::random()),
             workspace,
             class,
-            prompt: self.facts.prompt,
+            prompt: self.facts.prompt_tokens,
             limit,
             prefix: fireflyhoist_policy::placement::NO_PREFIX,
             objective: self.objective,
@@ -144,7 +144,7 @@
 /// Serves one request; a streamed answer continues after this returns.
 pub(crate) async fn serve<P: Platform>(worker: &Worker, request: Request) -> Response {
     let arrived_at = worker.process.clock.now();
-    let open = worker.process.begin();
+    let open = worker.process.start_request();
     let leaving = worker.process.is_leaving();
     let mut response = match resolve::<P>(worker, request, arrived_at).await {
         Ok(context) => {
@@ -179,8 +179,8 @@
     mut request: Request,
     arrived_at: Time,
 ) -> Result<Context, Response> {
-    let facts = P::facts(request.headers());
-    worker.process.warm_up().await;
+    let facts = P::request_info(request.headers());
+    worker.process.wait_for_initial_sync().await;
     let Some(table) = worker.process.table() else {
         return Err(refuse::not_ready(&facts.request));
     };
@@ -214,12 +214,12 @@
     let (Some(service), Some(lane)) = (service, lane) else {
         return Err(refuse::no_target(&facts.request));
     };
-    let request_timeout = facts.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let request_timeout = facts.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let workspace_id = workspace.as_ref().map(|workspace| &workspace.id);
     let fingerprint = Fingerprint::of(workspace_id, &path, &body);
     let first_attempt_at =
-        route.kind.is_stream().then(|| worker.process.wanted_since(fingerprint)).flatten();
+        route.kind.is_stream().then(|| worker.process.first_submitted(fingerprint)).flatten();
     let first_sent_at = first_attempt_at.unwrap_or(arrived_at);
     if first_attempt_at.is_some() {
         log::info!(
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -15,7 +15,7 @@
 
 /// Returns the refusal of a quarantined request, before it waits for anything.
 pub(crate) fn check(worker: &Worker, context: &Context) -> Option<Response> {
-    match worker.process.verdict(context.fingerprint) {
+    match worker.process.decide(context.fingerprint) {
         Decision::Allow | Decision::Trial => None,
         Decision::Refuse(wait) => Some(refuse(worker, context, wait)),
     }
@@ -36,8 +36,8 @@
     if context.has_trial.get() {
         return None;
     }
-    worker.process.settle(context.fingerprint, CONNECT_TIMEOUT).await;
-    match worker.process.verdict(context.fingerprint) {
+    worker.process.wait_for_checks(context.fingerprint, CONNECT_TIMEOUT).await;
+    match worker.process.decide(context.fingerprint) {
         Decision::Allow => None,
         Decision::Refuse(wait) => Some(wait),
         Decision::Trial => {
@@ -57,7 +57,7 @@
     worker.process.metrics.held_back(decision);
     log::info!(
         request = context.facts.request.as_str(), print:% = context.fingerprint,
-        decision = decision, ends = worker.process.ends(context.fingerprint),
+        decision = decision, ends = worker.process.crashes(context.fingerprint),
         retry_after_ms = millis(wait); "held back"
     );
 }
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -21,7 +21,7 @@
 use crate::connection::exchange::Response;
 use crate::platform::Platform;
 use crate::process::service_gate::Pass;
-use crate::process::state::Open;
+use crate::process::state::RequestGuard;
 use crate::request::attempt::{Error, Started};
 use crate::request::migration::{self, Backup, Plan, Resumed, Strategy};
 use crate::request::sse::Splitter;
@@ -113,7 +113,7 @@
     /// is not repeated.
     backup_tried: bool,
     chunks: mpsc::Sender<Chunk>,
-    _open: Option<Open>,
+    _open: Option<RequestGuard>,
 }
 
 impl Relay {
@@ -125,7 +125,7 @@
         backup: Option<Backup>,
         started: Started,
         runs: u32,
-        open: Option<Open>,
+        open: Option<RequestGuard>,
     ) -> Body {
         let (chunks, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let last_event = Rc::new(Cell::new(context.facts.last_event));
@@ -165,7 +165,7 @@
             End::Whole => {
                 // Fails only if the caller has closed its connection.
                 let _ = self.chunks.send(Chunk::End).await;
-                self.worker.process.note_whole(self.context.fingerprint);
+                self.worker.process.record_completion(self.context.fingerprint);
                 self.pass.finish(Outcome::Whole);
             }
             End::Left => self.pass.finish(Outcome::Cancelled),
@@ -297,7 +297,7 @@
     /// Returns the engines to which the answer may migrate, the best first.
     fn candidates(&self) -> Vec<Target> {
         let process = &self.worker.process;
-        let neighbours = process.neighbours(self.pass.target());
+        let neighbours = process.same_domain_targets(self.pass.target());
         let candidates = self.pass.migration_targets(&neighbours, None);
         candidates.iter().filter_map(|candidate| process.target(candidate)).collect()
     }
@@ -313,7 +313,7 @@
 
     /// Returns the number of tokens in the answer's memory.
     fn memory_tokens(&self) -> Tokens {
-        Tokens::new(self.context.facts.prompt.get() + self.produced_tokens())
+        Tokens::new(self.context.facts.prompt_tokens.get() + self.produced_tokens())
     }
 
     /// Returns the number of tokens sent to the caller.
