--- a/crates/gateway/src/process/fleet/heartbeat.rs
+++ b/crates/gateway/src/process/fleet/heartbeat.rs
@@ -18,8 +18,8 @@
         self.send_to_leaves();
     }
 
-    /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `endings`.
-    fn new_beat(&self, held: Vec<Load>) -> Heartbeat {
+    /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `outcomes`.
+    fn new_beat(&self, loads: Vec<Load>) -> Heartbeat {
         Heartbeat {
             follows: false,
             outcomes: Vec::new(),
@@ -29,7 +29,7 @@
             cordons: self.process.cordon_heartbeat_update(),
             registry_up: self.process.is_registry_available(),
             watching: self.process.is_watching(),
-            loads: held,
+            loads,
         }
     }
 
@@ -39,11 +39,11 @@
         self.announce_limits();
         let (actives, _) = self.actives_and_leaves();
         let view = self.view();
-        let endings = self.process.take_outcomes();
+        let outcomes = self.process.take_outcomes();
         if self.is_active() {
             // Includes what leaves have in flight; other actives announce their own load.
-            let held = self.process.usage_with(|host| !view.actives.contains(host));
-            let beat = Heartbeat { outcomes: endings, ..self.new_beat(held) };
+            let loads = self.process.usage_with(|host| !view.actives.contains(host));
+            let beat = Heartbeat { outcomes, ..self.new_beat(loads) };
             self.links.send_all(actives.iter(), &Frame::Heartbeat(beat));
             return;
         }
@@ -51,10 +51,10 @@
         let source = self.change_source();
         for active in &actives {
             // The load is sent to one active only, or it would be counted twice.
-            let held = if Some(active) == primary { self.process.own_usage() } else { Vec::new() };
+            let loads = if Some(active) == primary { self.process.own_usage() } else { Vec::new() };
             let follows = Some(active) == source.as_ref();
-            let endings = endings.clone();
-            let beat = Heartbeat { follows, outcomes: endings, ..self.new_beat(held) };
+            let outcomes = outcomes.clone();
+            let beat = Heartbeat { follows, outcomes, ..self.new_beat(loads) };
             self.links.send(active, &Frame::Heartbeat(beat));
         }
     }
@@ -83,8 +83,8 @@
             leaves.into_iter().partition(|leaf| self.process.has_usage(leaf));
         self.links.send_all(idle.iter(), &Frame::Heartbeat(self.new_beat(Vec::new())));
         for leaf in &busy {
-            let held = self.process.usage_with(|host| host != leaf);
-            self.links.send(leaf, &Frame::Heartbeat(self.new_beat(held)));
+            let loads = self.process.usage_with(|host| host != leaf);
+            self.links.send(leaf, &Frame::Heartbeat(self.new_beat(loads)));
         }
     }
 
@@ -112,20 +112,20 @@
         }
     }
 
-    fn apply_endings(&self, from: &id::Host, endings: Vec<TargetOutcome>) {
-        if endings.is_empty() {
+    fn apply_outcomes(&self, from: &id::Host, outcomes: Vec<TargetOutcome>) {
+        if outcomes.is_empty() {
             return;
         }
         let domain = self.peers.lock().get(from).map(|peer| peer.member.domain.clone());
         let Some(domain) = domain else { return };
-        self.process.apply_outcomes(&Observer { host: from.clone(), domain }, endings);
+        self.process.apply_outcomes(&Observer { host: from.clone(), domain }, outcomes);
     }
 
     /// Applies a heartbeat of another entry, and requests the text and targets that it has and this
     /// entry lacks.
     pub(super) fn handle_beat(&self, from: &id::Host, mut beat: Heartbeat) {
         self.catch_up(from, &beat);
-        self.apply_endings(from, std::mem::take(&mut beat.outcomes));
+        self.apply_outcomes(from, std::mem::take(&mut beat.outcomes));
         if let Some(update) = &beat.cordons {
             self.process.apply_cordon_update(update.clone());
         }
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -41,7 +41,7 @@
 use crate::connection::frame::{Frame, Heartbeat};
 use crate::connection::link::{Event, Links, Loss};
 use crate::process::fleet::catchup::{EncodedTargets, Lag};
-use crate::process::fleet::owner::PendingQuestions;
+use crate::process::fleet::owner::PendingPermits;
 use crate::process::migration::Coordinator;
 use crate::process::state::{Process, millis};
 
@@ -78,7 +78,7 @@
     alive: Vec<Presence>,
     actives: BTreeSet<id::Host>,
     /// The actives that this entry links to. If it is a leaf, the first is its primary active,
-    /// which announces its in-flight requests and forwards its questions.
+    /// which announces its in-flight requests and forwards its permit requests.
     links: Vec<Member>,
 }
 
@@ -106,7 +106,7 @@
     encoded_targets: Mutex<Option<EncodedTargets>>,
     /// Notified after each computation of the view and when a link opens or closes.
     changed: Notify,
-    questions: PendingQuestions,
+    pending_permits: PendingPermits,
     pub(crate) migrations: Coordinator,
 }
 
@@ -138,7 +138,7 @@
             target_fetch: Mutex::default(),
             encoded_targets: Mutex::default(),
             changed: Notify::new(),
-            questions: PendingQuestions::default(),
+            pending_permits: PendingPermits::default(),
             migrations: Coordinator::default(),
         });
         fleet.refresh();
@@ -272,7 +272,7 @@
         &self.own.host
     }
 
-    /// Returns the entry to which questions about a key are sent: the owner of the key if this
+    /// Returns the entry to which permit requests for a key are sent: the owner of the key if this
     /// entry is active, or else its primary active, which forwards them to the owner.
     pub(crate) fn owner(&self, key: &str) -> id::Host {
         let view = self.view();
@@ -455,16 +455,16 @@
                 self.process.apply_cold_update(&update);
                 self.handle_spent(from, update.target.clone(), Frame::ColdSend(update));
             }
-            Frame::PermitRequest { id, permit } => self.handle_question(from, id, permit),
-            Frame::PermitReply { id, wait_ms } => self.handle_answer(id, wait_ms),
+            Frame::PermitRequest { id, permit } => self.handle_permit_request(from, id, permit),
+            Frame::PermitReply { id, wait_ms } => self.handle_permit_reply(id, wait_ms),
             Frame::MigrationRequest { engine, migration } => {
-                self.migrations.enqueue(self, from, &engine, migration)
+                self.migrations.enqueue(self, from, &engine, migration);
             }
             Frame::MigrationGrant { engine, request } => {
-                self.migrations.grant(self, &engine, &request)
+                self.migrations.grant(self, &engine, &request);
             }
             Frame::MigrationDone { engine, request } => {
-                self.migrations.finish(self, &engine, &request)
+                self.migrations.finish(self, &engine, &request);
             }
             Frame::Refused { fingerprint, age_ms } => {
                 self.process.record_refusal(fingerprint, Duration::from_millis(age_ms));
--- a/crates/gateway/src/process/metrics.rs
+++ b/crates/gateway/src/process/metrics.rs
@@ -144,7 +144,7 @@
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a run that broke off, by the fate of its target.
+    /// Counts a run that broke off, by the status of its target.
     pub(crate) fn broken_run(&self, status: Status) {
         self.broken_runs.add(1, &[KeyValue::new("target", status.to_string())]);
     }
--- a/crates/gateway/src/request/admission.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -70,7 +70,7 @@
         Permit::ColdSend(_) => Exclusion::Cold,
         Permit::LimitedSend(_) | Permit::Trial(_) => Exclusion::Limited,
     };
-    let wait = worker.fleet.ask(permit, SEND_TIMEOUT).await;
+    let wait = worker.fleet.request_permit(permit, SEND_TIMEOUT).await;
     worker
         .process
         .metrics
