--- a/crates/daemon/src/connection/engine.rs
+++ b/crates/daemon/src/connection/engine.rs
@@ -11,7 +11,7 @@
 use ntex::time::timeout;
 use ntex::util::{Bytes, stream_recv};
 
-use crate::connection::{fresh, unwritten};
+use crate::connection::{unpooled, unwritten};
 
 /// How long an engine may take to take note of a cancel.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -36,10 +36,10 @@
         client: &Client,
         site: &Site,
         start: &Start,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Result<Self, Failure> {
         let request = request(client, Method::POST, site, "/v1/streams");
-        let response = sent(request.send_json(start), patience).await?;
+        let response = response_within(request.send_json(start), answer_timeout).await?;
         match response.status() {
             status if status.is_success() => Ok(Self { payload: response.take_payload() }),
             StatusCode::SERVICE_UNAVAILABLE => Err(Failure::Declined),
@@ -53,11 +53,11 @@
         client: &Client,
         site: &Site,
         from: u64,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Result<Self, Failure> {
         let path = format!("/v1/streams/{}?from={from}", site.generation);
         let request = request(client, Method::GET, site, &path);
-        let response = sent(request.send(), patience).await?;
+        let response = response_within(request.send(), answer_timeout).await?;
         match response.status() {
             status if status.is_success() => Ok(Self { payload: response.take_payload() }),
             // Too busy to answer is no reason to give up a generation that it may still run.
@@ -77,14 +77,14 @@
 
 fn request(client: &Client, method: Method, site: &Site, path: &str) -> ClientRequest {
     // Guards against resuming into another silent connection of the pool: each link is new.
-    fresh(client, method, site.address, path).header(READER_HEADER, site.reader.to_string())
+    unpooled(client, method, site.address, path).header(READER_HEADER, site.reader.to_string())
 }
 
-async fn sent(
+async fn response_within(
     send: impl Future<Output = Result<ClientResponse, ntex::client::error::ClientError>>,
-    patience: Duration,
+    answer_timeout: Duration,
 ) -> Result<ClientResponse, Failure> {
-    match timeout(patience, send).await {
+    match timeout(answer_timeout, send).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) if unwritten(&error) => Err(Failure::Refused),
         Ok(Err(_)) => Err(Failure::Cut),
--- a/crates/daemon/src/connection/handshake.rs
+++ b/crates/daemon/src/connection/handshake.rs
@@ -16,7 +16,7 @@
 
 /// How long connecting and proving may take together: many round trips between regions, and short
 /// enough that strangers who say nothing hold no sockets.
-const PATIENCE: Duration = Duration::from_secs(2);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A link's socket.
 pub(crate) type Socket = WebSocketStream<TcpStream>;
@@ -27,15 +27,15 @@
     #[display("no connection; see whether the host is up")]
     Unreachable,
     #[display("no answer in time; see whether the host is overloaded")]
-    Silent,
+    TimedOut,
     #[display("{_0}")]
-    Stranger(#[error(not(source))] proof::VerifyError),
+    Unverified(#[error(not(source))] proof::VerifyError),
     #[display("{_0}")]
     Frame(#[error(not(source))] FrameError),
     #[display("an unexpected frame; run the same release on every entry host")]
     Unexpected,
-    #[display("{found} answers where {wanted} is listed; correct the host list")]
-    Other { found: id::Host, wanted: id::Host },
+    #[display("{found} answers where {expected} is listed; correct the host list")]
+    WrongHost { found: id::Host, expected: id::Host },
 }
 
 /// Who speaks for this end.
@@ -53,31 +53,31 @@
         .max_frame_size(Some(MAX_FRAME))
 }
 
-/// Connects to a daemon and proves both ends; the host that answers must be `wanted`, if known.
-pub(crate) async fn call(
+/// Connects to a daemon and proves both ends; the host that answers must be `expected`, if known.
+pub(crate) async fn dial(
     credentials: &Credentials,
     address: SocketAddr,
-    wanted: Option<&id::Host>,
+    expected: Option<&id::Host>,
 ) -> Result<(Socket, id::Host), LinkError> {
-    timeout(PATIENCE, prove_as_caller(credentials, address, wanted))
+    timeout(HANDSHAKE_TIMEOUT, prove_as_dialer(credentials, address, expected))
         .await
-        .map_err(|_| LinkError::Silent)?
+        .map_err(|_| LinkError::TimedOut)?
 }
 
 /// Takes in a connection and proves both ends.
-pub(crate) async fn answer(
+pub(crate) async fn accept(
     credentials: &Credentials,
     stream: TcpStream,
 ) -> Result<(Socket, id::Host), LinkError> {
-    timeout(PATIENCE, prove_as_listener(credentials, stream))
+    timeout(HANDSHAKE_TIMEOUT, prove_as_listener(credentials, stream))
         .await
-        .map_err(|_| LinkError::Silent)?
+        .map_err(|_| LinkError::TimedOut)?
 }
 
-async fn prove_as_caller(
+async fn prove_as_dialer(
     credentials: &Credentials,
     address: SocketAddr,
-    wanted: Option<&id::Host>,
+    expected: Option<&id::Host>,
 ) -> Result<(Socket, id::Host), LinkError> {
     let stream = TcpStream::connect(address).await.map_err(|_| LinkError::Unreachable)?;
     let _ = stream.set_nodelay(true);
@@ -96,10 +96,10 @@
         return Err(LinkError::Unexpected);
     };
     proof::verify(&credentials.key, Role::Listener, ours, theirs, &host, &proof)
-        .map_err(LinkError::Stranger)?;
-    match wanted {
-        Some(wanted) if *wanted != host => {
-            Err(LinkError::Other { found: host, wanted: wanted.clone() })
+        .map_err(LinkError::Unverified)?;
+    match expected {
+        Some(expected) if *expected != host => {
+            Err(LinkError::WrongHost { found: host, expected: expected.clone() })
         }
         _ => Ok((socket, host)),
     }
@@ -121,7 +121,7 @@
     // The failure: a stranger that reaches the port feeds the fleet a member list or a text of its
     // own. Nothing but the handshake is read before the key is proved.
     proof::verify(&credentials.key, Role::Dialer, challenge, ours, &host, &proof)
-        .map_err(LinkError::Stranger)?;
+        .map_err(LinkError::Unverified)?;
     let proof = proof::prove(&credentials.key, Role::Listener, challenge, ours, &credentials.host);
     send(&mut socket, &Frame::Welcome { host: credentials.host.clone(), proof }).await?;
     Ok((socket, host))
--- a/crates/daemon/src/connection/load.rs
+++ b/crates/daemon/src/connection/load.rs
@@ -17,12 +17,12 @@
 
 pub(crate) async fn run(worker: Worker) {
     loop {
-        round(&worker).await;
+        poll_engines(&worker).await;
         ntex::time::sleep(INTERVAL).await;
     }
 }
 
-async fn round(worker: &Worker) {
+async fn poll_engines(worker: &Worker) {
     let Some(snapshot) = worker.process.snapshot() else { return };
     let models = snapshot.text.services.iter().filter(|s| s.kind == Kind::Model);
     let reads = models.flat_map(|service| {
--- a/crates/daemon/src/connection/mod.rs
+++ b/crates/daemon/src/connection/mod.rs
@@ -2,10 +2,10 @@
 
 pub(crate) mod engine;
 pub(crate) mod handshake;
-pub(crate) mod intake;
 pub(crate) mod load;
 pub(crate) mod order;
 pub(crate) mod peer;
+pub(crate) mod server;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -64,7 +64,7 @@
 /// Pooled connections may have gone silent or may close as the request is written, and the pool
 /// opens connections to one address one after the other. An authority used once keeps this request
 /// out of all that.
-pub(crate) fn fresh(
+pub(crate) fn unpooled(
     client: &Client,
     method: Method,
     address: SocketAddr,
--- a/crates/daemon/src/connection/peer.rs
+++ b/crates/daemon/src/connection/peer.rs
@@ -18,22 +18,22 @@
 use crate::connection::handshake::{self, Credentials, LinkError, Socket};
 
 /// Frames that wait for one link; more are dropped, since heartbeats repeat what they say.
-const BACKLOG: usize = 64;
+const MAX_QUEUED_FRAMES: usize = 64;
 
 /// A link on which nothing came for this long is pinged: more than a heartbeat.
-const QUIET: Duration = Duration::from_millis(2_500);
+const PING_AFTER: Duration = Duration::from_millis(2_500);
 
 /// A link on which even the ping is not answered by then is given up.
-const SILENT: Duration = Duration::from_secs(5);
+const DEAD_AFTER: Duration = Duration::from_secs(5);
 
 /// A link that carried no frame either way for this long is closed; probes and partings leave some.
-const UNUSED: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long one frame may take to be written before the link counts as stuck.
-const WRITE: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Connections of which the key is not proved yet; further ones wait in the listener's queue.
-const UNPROVED: usize = 32;
+const MAX_HANDSHAKES: usize = 32;
 
 /// What the links tell the process.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// A frame from a host that proved the key; `era` tells frames from before a reset.
     Frame { era: u64, from: id::Host, frame: Frame },
     /// A host that answered at an address of the settings.
-    Found(id::Host, SocketAddr),
+    Discovered(id::Host, SocketAddr),
     /// A host cannot be reached.
     Unreachable(id::Host),
 }
@@ -87,17 +87,17 @@
             Some(_) => return,
             None => peer::encode(frame),
         };
-        let (link, frames) = self.link();
+        let (link, frames) = self.new_link();
         let _ = link.frames.try_send(bytes);
         let number = link.number;
         open.insert(to.clone(), link);
         drop(open);
         let (links, to) = (Arc::clone(self), to.clone());
-        ntex::rt::spawn(async move { links.call(to, address, number, frames).await }).detach();
+        ntex::rt::spawn(async move { links.dial(to, address, number, frames).await }).detach();
     }
 
     /// Closes the link to a host; the next frame opens a new one.
-    pub(crate) fn replace(&self, host: &id::Host) {
+    pub(crate) fn close(&self, host: &id::Host) {
         if self.open.lock().remove(host).is_some() {
             log::info!(peer:% = host; "link replaced");
         }
@@ -110,16 +110,16 @@
     }
 
     /// Looks who answers at an address of the settings, and keeps the link.
-    pub(crate) async fn find(self: &Arc<Self>, address: SocketAddr) {
-        let Ok((socket, host)) = handshake::call(&self.credentials, address, None).await else {
+    pub(crate) async fn discover(self: &Arc<Self>, address: SocketAddr) {
+        let Ok((socket, host)) = handshake::dial(&self.credentials, address, None).await else {
             return;
         };
-        let (link, frames) = self.link();
+        let (link, frames) = self.new_link();
         let number = link.number;
         self.open.lock().insert(host.clone(), link);
-        let _ = self.events.send(Event::Found(host.clone(), address)).await;
+        let _ = self.events.send(Event::Discovered(host.clone(), address)).await;
         let links = Arc::clone(self);
-        ntex::rt::spawn(async move { links.carry(socket, host, number, frames).await }).detach();
+        ntex::rt::spawn(async move { links.run_link(socket, host, number, frames).await }).detach();
     }
 
     /// Takes in links until it is told to stop, which it confirms once the address is free again.
@@ -141,9 +141,9 @@
     }
 
     async fn accept(self: &Arc<Self>, listener: &TcpListener) {
-        let places = Arc::new(Semaphore::new(UNPROVED));
+        let permits = Arc::new(Semaphore::new(MAX_HANDSHAKES));
         loop {
-            let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+            let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
             let Ok((stream, from)) = listener.accept().await else {
                 // Out of descriptors, most likely: the closing of others frees some.
                 ntex::time::sleep(Duration::from_millis(100)).await;
@@ -151,8 +151,8 @@
             };
             let links = Arc::clone(self);
             ntex::rt::spawn(async move {
-                let proved = handshake::answer(&links.credentials, stream).await;
-                drop(place);
+                let proved = handshake::accept(&links.credentials, stream).await;
+                drop(permit);
                 links.admit(proved, from).await;
             })
             .detach();
@@ -166,21 +166,21 @@
     ) {
         match proved {
             Ok((socket, host)) => {
-                let (link, frames) = self.link();
+                let (link, frames) = self.new_link();
                 let number = link.number;
                 self.open.lock().insert(host.clone(), link);
-                self.carry(socket, host, number, frames).await;
+                self.run_link(socket, host, number, frames).await;
             }
             Err(error) => log::warn!(from:% = from, error:% = error; "stranger refused"),
         }
     }
 
-    fn link(&self) -> (Link, mpsc::Receiver<Vec<u8>>) {
-        let (frames, receiver) = mpsc::channel(BACKLOG);
+    fn new_link(&self) -> (Link, mpsc::Receiver<Vec<u8>>) {
+        let (frames, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         (Link { number: self.next.fetch_add(1, Ordering::Relaxed), frames }, receiver)
     }
 
-    async fn call(
+    async fn dial(
         self: Arc<Self>,
         to: id::Host,
         address: SocketAddr,
@@ -188,17 +188,17 @@
         frames: mpsc::Receiver<Vec<u8>>,
     ) {
         log::info!(peer:% = to, address:% = address; "opening a link");
-        match handshake::call(&self.credentials, address, Some(&to)).await {
-            Ok((socket, host)) => self.carry(socket, host, number, frames).await,
+        match handshake::dial(&self.credentials, address, Some(&to)).await {
+            Ok((socket, host)) => self.run_link(socket, host, number, frames).await,
             Err(error) => {
                 log::debug!(peer:% = to, error:% = error; "no link");
-                self.forget(&to, number);
+                self.remove(&to, number);
                 let _ = self.events.send(Event::Unreachable(to)).await;
             }
         }
     }
 
-    fn forget(&self, host: &id::Host, number: u64) {
+    fn remove(&self, host: &id::Host, number: u64) {
         let mut open = self.open.lock();
         if open.get(host).is_some_and(|link| link.number == number) {
             open.remove(host);
@@ -206,7 +206,7 @@
     }
 
     /// Reads and writes one link until either end gives it up.
-    async fn carry(
+    async fn run_link(
         self: Arc<Self>,
         socket: Socket,
         host: id::Host,
@@ -219,22 +219,22 @@
         // Still wanted for reading after `frames` closed: the other end may know no newer link.
         let mut writable = true;
         while self.era() == era {
-            let deadline = read + if pinged { SILENT } else { QUIET };
+            let deadline = read + if pinged { DEAD_AFTER } else { PING_AFTER };
             tokio::select! {
                 frame = frames.recv(), if writable => match frame {
                     Some(bytes) => {
                         used = Instant::now();
-                        if !written(&mut sink, Message::binary(bytes)).await {
+                        if !send_message(&mut sink, Message::binary(bytes)).await {
                             break;
                         }
                     }
-                    None if self.is_current(&host) => writable = false,
+                    None if self.has_link(&host) => writable = false,
                     None => break,
                 },
                 message = source.next() => match message {
                     Some(Ok(Message::Binary(bytes))) => {
                         (read, pinged, used) = (Instant::now(), false, Instant::now());
-                        if !self.hand_on(era, &host, &bytes).await {
+                        if !self.forward(era, &host, &bytes).await {
                             break;
                         }
                     }
@@ -245,26 +245,26 @@
                     // The failure: something between the ends lost track of the connection, and
                     // whoever waits on it waits for good, while new connections work. No answer to
                     // a ping within the deadline closes it, and the next frame opens a new one.
-                    if pinged || used.elapsed() >= UNUSED {
+                    if pinged || used.elapsed() >= IDLE_TIMEOUT {
                         break;
                     }
                     pinged = true;
-                    if !written(&mut sink, Message::Ping(Default::default())).await {
+                    if !send_message(&mut sink, Message::Ping(Default::default())).await {
                         break;
                     }
                 }
             }
         }
-        self.forget(&host, number);
-        let _ = timeout(WRITE, sink.close()).await;
+        self.remove(&host, number);
+        let _ = timeout(WRITE_TIMEOUT, sink.close()).await;
     }
 
     /// Whether a link to this host is known at all.
-    fn is_current(&self, host: &id::Host) -> bool {
+    fn has_link(&self, host: &id::Host) -> bool {
         self.open.lock().contains_key(host)
     }
 
-    async fn hand_on(&self, era: u64, from: &id::Host, bytes: &[u8]) -> bool {
+    async fn forward(&self, era: u64, from: &id::Host, bytes: &[u8]) -> bool {
         match peer::decode(bytes) {
             Ok(frame) => {
                 let event = Event::Frame { era, from: from.clone(), frame };
@@ -278,11 +278,11 @@
     }
 }
 
-async fn written<S>(sink: &mut S, message: Message) -> bool
+async fn send_message<S>(sink: &mut S, message: Message) -> bool
 where
     S: futures_util::Sink<Message> + Unpin,
 {
-    matches!(timeout(WRITE, sink.send(message)).await, Ok(Ok(())))
+    matches!(timeout(WRITE_TIMEOUT, sink.send(message)).await, Ok(Ok(())))
 }
 
 /// Takes a socket that the process has bound already.
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -25,7 +25,7 @@
 async fn main() -> ExitCode {
     let flags = match flags().run_inner(Args::current_args()) {
         Ok(flags) => flags,
-        Err(failure) => return explained(&failure),
+        Err(failure) => return print_failure(&failure),
     };
     let settings = match Settings::open(&flags.settings) {
         Ok(settings) => settings,
@@ -48,7 +48,7 @@
 }
 
 /// Prints help, version, completions or what is wrong with the command line.
-fn explained(failure: &ParseFailure) -> ExitCode {
+fn print_failure(failure: &ParseFailure) -> ExitCode {
     failure.print_message(HELP_WIDTH);
     match failure {
         ParseFailure::Stderr(_) => ExitCode::from(USAGE),
--- a/crates/daemon/src/process/burn.rs
+++ b/crates/daemon/src/process/burn.rs
@@ -77,7 +77,7 @@
 }
 
 /// Counts are handed over after so many tokens, so that an answer of an hour shows before its end.
-const TOKENS_A_RECORD: u64 = 256;
+const TOKENS_PER_RECORD: u64 = 256;
 
 impl Watch {
     /// Notes that the token at `offset` arrived.
@@ -87,7 +87,7 @@
         if let Some(elapsed) = progress.record_token(now) {
             self.recorder.metrics.first_token(&self.service, elapsed);
         }
-        if offset.is_multiple_of(TOKENS_A_RECORD) {
+        if offset.is_multiple_of(TOKENS_PER_RECORD) {
             let tally = progress.take_tally();
             self.recorder.record(&self.service, tally);
         }
--- a/crates/daemon/src/process/fleet.rs
+++ b/crates/daemon/src/process/fleet.rs
@@ -8,16 +8,16 @@
 
 use crate::connection::peer::{Event, Links};
 use crate::process::Process;
-use crate::process::member::Step;
+use crate::process::member::Effect;
 
 /// How often decisions are polled; a tenth of a heartbeat.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often the addresses of the settings are tried while nobody was heard.
-const SEEK: Duration = Duration::from_secs(1);
+const DISCOVERY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Events that wait for the process; links hold back what they read beyond that.
-pub(crate) const BACKLOG: usize = 1_024;
+pub(crate) const MAX_PENDING_EVENTS: usize = 1_024;
 
 /// Runs this process's part in the fleet until it stops.
 pub(crate) async fn run(
@@ -25,31 +25,31 @@
     links: Arc<Links>,
     mut events: mpsc::Receiver<Event>,
 ) {
-    let mut due = tokio::time::interval(POLL);
-    due.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut poll = tokio::time::interval(POLL_INTERVAL);
+    poll.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while !process.is_stopped() {
-        let steps = tokio::select! {
+        let effects = tokio::select! {
             // The poll goes first: after a pause it must disown what the links had buffered.
             biased;
-            _ = due.tick() => process.control.poll(process.clock.now()),
-            Some(event) = events.recv() => taken(&process, &links, event),
+            _ = poll.tick() => process.control.poll(process.clock.now()),
+            Some(event) = events.recv() => handle_event(&process, &links, event),
         };
-        for step in steps {
-            carry_out(&process, &links, step);
+        for effect in effects {
+            execute(&process, &links, effect);
         }
         process.refresh();
     }
     links.reset();
 }
 
-fn taken(process: &Process, links: &Links, event: Event) -> Vec<Step> {
+fn handle_event(process: &Process, links: &Links, event: Event) -> Vec<Effect> {
     let now = process.clock.now();
     match event {
         Event::Frame { era, from, frame } if era == links.era() => {
             process.control.receive(now, &from, frame)
         }
         Event::Frame { .. } => Vec::new(),
-        Event::Found(host, address) => vec![process.control.greet(host, address)],
+        Event::Discovered(host, address) => vec![process.control.greet(host, address)],
         Event::Unreachable(host) => {
             process.control.unreachable(now, &host);
             Vec::new()
@@ -57,29 +57,29 @@
     }
 }
 
-fn carry_out(process: &Process, links: &Arc<Links>, step: Step) {
-    match step {
-        Step::Send { to, address, frame } => links.send(&to, address, &frame),
-        Step::Replace(host) => links.replace(&host),
-        Step::Reset => {
+fn execute(process: &Process, links: &Arc<Links>, effect: Effect) {
+    match effect {
+        Effect::Send { to, address, frame } => links.send(&to, address, &frame),
+        Effect::CloseLink(host) => links.close(&host),
+        Effect::CloseAllLinks => {
             log::warn!("this process slept; it asks its peers before it is ready again");
             links.reset();
         }
-        Step::Text { version, source } => {
+        Effect::TextReceived { version, source } => {
             log::debug!(version:% = version; "text arrived from a peer");
-            process.take_fetched(version, &source);
+            process.apply_peer_text(version, &source);
         }
     }
 }
 
 /// Asks at the addresses of the settings until some member was heard.
-pub(crate) async fn seek(process: Arc<Process>, links: Arc<Links>, own: SocketAddr) {
+pub(crate) async fn discover(process: Arc<Process>, links: Arc<Links>, own: SocketAddr) {
     while !process.is_stopped() {
-        if process.control.is_alone() {
+        if process.control.needs_discovery() {
             for address in process.settings.peers.iter().filter(|address| **address != own) {
-                links.find(*address).await;
+                links.discover(*address).await;
             }
         }
-        ntex::time::sleep(SEEK).await;
+        ntex::time::sleep(DISCOVERY_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/process/limits.rs
+++ b/crates/daemon/src/process/limits.rs
@@ -84,12 +84,12 @@
     /// Notes that the stream has drawn `total` tokens so far; a smaller total, of a fresh
     /// generation, draws nothing until it has caught up.
     pub(crate) fn spend(&mut self, total: u64) {
-        let fresh = total.saturating_sub(self.spent);
-        self.spent += fresh;
-        if fresh > 0 {
+        let new = total.saturating_sub(self.spent);
+        self.spent += new;
+        if new > 0 {
             let now = self.limits.clock.now();
             let mut shard = self.limits.shard(&self.workspace).lock();
-            shard.spend(now, &self.workspace, Tokens::new(fresh));
+            shard.spend(now, &self.workspace, Tokens::new(new));
         }
     }
 }
--- a/crates/daemon/src/process/member.rs
+++ b/crates/daemon/src/process/member.rs
@@ -1,7 +1,7 @@
 //! This process's part in the fleet: membership, versions and what is said to peers about both.
 //!
 //! One lock holds it all: peers speak about ten times a second, and requests read it only where they
-//! ask for entries.
+//! request for entries.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -22,15 +22,15 @@
 
 /// What is to be done after the lock is released.
 #[derive(Debug)]
-pub(crate) enum Step {
+pub(crate) enum Effect {
     /// Say this to a host.
     Send { to: id::Host, address: SocketAddr, frame: Frame },
     /// Close the link to a host.
-    Replace(id::Host),
+    CloseLink(id::Host),
     /// Close every link: this process slept.
-    Reset,
+    CloseAllLinks,
     /// A whole text arrived from a peer.
-    Text { version: Version, source: String },
+    TextReceived { version: Version, source: String },
 }
 
 /// Membership and versions under their lock.
@@ -42,10 +42,10 @@
 #[derive(Debug)]
 struct Shared {
     membership: Membership,
-    book: Tracker,
+    tracker: Tracker,
     readiness: Readiness,
     transfer: Transfer,
-    listed: bool,
+    has_host_list: bool,
     draining: bool,
 }
 
@@ -70,33 +70,33 @@
         };
         let shared = Shared {
             membership: Membership::open(now, identity),
-            book: Tracker::default(),
+            tracker: Tracker::default(),
             readiness: Readiness::open(now),
             transfer: Transfer::default(),
-            listed: false,
+            has_host_list: false,
             draining: false,
         };
         Self { state: Mutex::new(shared) }
     }
 
     /// Does what time demands.
-    pub(crate) fn poll(&self, now: Time) -> Vec<Step> {
+    pub(crate) fn poll(&self, now: Time) -> Vec<Effect> {
         let mut state = self.state.lock();
         let actions = state.membership.poll(now, &mut rand::rng());
         if actions.contains(&Action::CloseAllLinks) {
             state.readiness = Readiness::open(now);
         }
-        state.steps(actions)
+        state.effects(actions)
     }
 
     /// Takes in a frame from a host that proved the key.
-    pub(crate) fn receive(&self, now: Time, from: &id::Host, frame: Frame) -> Vec<Step> {
+    pub(crate) fn receive(&self, now: Time, from: &id::Host, frame: Frame) -> Vec<Effect> {
         let mut state = self.state.lock();
         match frame {
-            Frame::Member(message) => state.member(now, from, message),
+            Frame::Member(message) => state.receive_member(now, from, message),
             Frame::Text(message) => {
                 let next = state.transfer.take(now, from, message);
-                state.next(from, next)
+                state.handle_transfer(from, next)
             }
             // Only the first frames of a link may be these.
             Frame::Challenge(_) | Frame::Hello { .. } | Frame::Welcome { .. } => Vec::new(),
@@ -104,9 +104,9 @@
     }
 
     /// Says who this is to a host found at an address of the settings.
-    pub(crate) fn greet(&self, to: id::Host, address: SocketAddr) -> Step {
+    pub(crate) fn greet(&self, to: id::Host, address: SocketAddr) -> Effect {
         let message = self.state.lock().membership.greeting();
-        Step::Send { to, address, frame: Frame::Member(message) }
+        Effect::Send { to, address, frame: Frame::Member(message) }
     }
 
     /// A host cannot be reached.
@@ -115,10 +115,10 @@
     }
 
     /// Takes in the platform's host list.
-    pub(crate) fn publish(&self, now: Time, hosts: &Hosts) {
+    pub(crate) fn apply_host_list(&self, now: Time, hosts: &Hosts) {
         let mut state = self.state.lock();
-        state.listed = true;
-        state.membership.apply_list(now, &published(hosts));
+        state.has_host_list = true;
+        state.membership.apply_list(now, &host_list(hosts));
     }
 
     /// Whether a list as old as this one is behind what is known.
@@ -127,8 +127,8 @@
     }
 
     /// Takes in what came of asking the platform for the text.
-    pub(crate) fn platform(&self, asked: Contact) {
-        self.state.lock().readiness.set_platform(asked);
+    pub(crate) fn set_platform_contact(&self, contact: Contact) {
+        self.state.lock().readiness.set_platform(contact);
     }
 
     /// Decides about a text that was found valid, or not.
@@ -139,10 +139,10 @@
         validity: Result<(), SmolStr>,
     ) -> Verdict {
         let mut state = self.state.lock();
-        let verdict = state.book.offer(version, validity);
+        let verdict = state.tracker.offer(version, validity);
         if verdict == Verdict::Adopt {
             state.transfer.hold(version, source);
-            let stamp = state.book.stamp();
+            let stamp = state.tracker.stamp();
             state.membership.set_stamp(stamp);
         }
         verdict
@@ -151,7 +151,7 @@
     /// The version in force, and the two texts last seen under one revision.
     pub(crate) fn versions(&self) -> (Option<Version>, Option<(Version, Version)>) {
         let state = self.state.lock();
-        (state.book.in_force(), state.book.conflict())
+        (state.tracker.in_force(), state.tracker.conflict())
     }
 
     /// Takes no new work from now on and says so to the peers.
@@ -191,7 +191,7 @@
     }
 
     /// Whether no other member was heard yet.
-    pub(crate) fn is_alone(&self) -> bool {
+    pub(crate) fn needs_discovery(&self) -> bool {
         !self.state.lock().membership.has_received()
     }
 
@@ -210,39 +210,39 @@
 
 impl Shared {
     fn standing(&mut self, now: Time) -> Standing {
-        // Nobody to ask, or nobody who can be reached, is known at once; silence takes its time.
-        let nobody = self.listed && !self.membership.knows_others();
-        let asked = match nobody || self.membership.is_isolated() {
+        // Nobody to request, or no_peers who can be reached, is known at once; silence takes its time.
+        let no_peers = self.has_host_list && !self.membership.knows_others();
+        let contact = match no_peers || self.membership.is_isolated() {
             true => Contact::Silent,
             false => Contact::Pending,
         };
-        self.readiness.set_peers(asked);
-        self.readiness.standing(now, self.book.stamp())
+        self.readiness.set_peers(contact);
+        self.readiness.standing(now, self.tracker.stamp())
     }
 
-    fn member(&mut self, now: Time, from: &id::Host, message: Message) -> Vec<Step> {
-        let mut steps = Vec::new();
+    fn receive_member(&mut self, now: Time, from: &id::Host, message: Message) -> Vec<Effect> {
+        let mut effects = Vec::new();
         if let Message::Heartbeat(beat) = &message {
             let stamp = beat.stamp;
             if stamp != Stamp::default() {
                 self.readiness.set_peers(Contact::Answered);
             }
-            if self.book.wants(stamp) {
+            if self.tracker.wants(stamp) {
                 self.readiness.note_announced(stamp);
-                let ask = self.transfer.announced(now, from, stamp);
-                steps.extend(self.reply(from, ask.map(Frame::Text)));
+                let request = self.transfer.announced(now, from, stamp);
+                effects.extend(self.reply(from, request.map(Frame::Text)));
             }
         }
         let actions = self.membership.receive(now, from, message);
-        steps.extend(self.steps(actions));
-        steps
+        effects.extend(self.effects(actions));
+        effects
     }
 
-    fn next(&self, from: &id::Host, next: Next) -> Vec<Step> {
+    fn handle_transfer(&self, from: &id::Host, next: Next) -> Vec<Effect> {
         match next {
             Next::Nothing => Vec::new(),
             Next::Say(message) => self.reply(from, Some(Frame::Text(message))),
-            Next::Whole(version, source) => vec![Step::Text { version, source }],
+            Next::Whole(version, source) => vec![Effect::TextReceived { version, source }],
             Next::Unlike(version) => {
                 log::warn!(peer:% = from, version:% = version; "sections make no text of their version");
                 Vec::new()
@@ -250,25 +250,25 @@
         }
     }
 
-    fn reply(&self, to: &id::Host, frame: Option<Frame>) -> Vec<Step> {
+    fn reply(&self, to: &id::Host, frame: Option<Frame>) -> Vec<Effect> {
         let address = self.membership.address(to);
-        let step = |(frame, address)| Step::Send { to: to.clone(), address, frame };
-        frame.zip(address).map(step).into_iter().collect()
+        let effect = |(frame, address)| Effect::Send { to: to.clone(), address, frame };
+        frame.zip(address).map(effect).into_iter().collect()
     }
 
-    fn steps(&self, actions: Vec<Action>) -> Vec<Step> {
-        let step = |action| match action {
+    fn effects(&self, actions: Vec<Action>) -> Vec<Effect> {
+        let effect = |action| match action {
             Action::Send { to, address, message } => {
-                Step::Send { to, address, frame: Frame::Member(message) }
+                Effect::Send { to, address, frame: Frame::Member(message) }
             }
-            Action::CloseLink(host) => Step::Replace(host),
-            Action::CloseAllLinks => Step::Reset,
+            Action::CloseLink(host) => Effect::CloseLink(host),
+            Action::CloseAllLinks => Effect::CloseAllLinks,
         };
-        actions.into_iter().map(step).collect()
+        actions.into_iter().map(effect).collect()
     }
 }
 
-fn published(hosts: &Hosts) -> HostList {
+fn host_list(hosts: &Hosts) -> HostList {
     let entry = |host: &Host| {
         let listen = host.entry?;
         Some(Entry {
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -7,8 +7,8 @@
 pub(crate) mod log;
 pub(crate) mod member;
 pub(crate) mod metrics;
+pub(crate) mod reconcile;
 pub(crate) mod settings;
-pub(crate) mod steward;
 pub(crate) mod tickets;
 
 use std::collections::HashMap;
@@ -50,7 +50,7 @@
 
 /// How long a drain goes on answering so that its goodbye is out before it stops: two polls of the
 /// membership and the way to each neighbour.
-const GOODBYE: Duration = Duration::from_millis(300);
+const LEAVE_NOTICE: Duration = Duration::from_millis(300);
 
 /// How often lanes look for deadlines that passed; a tenth of the shortest objective in use.
 const LANE_POLL: Duration = Duration::from_millis(10);
@@ -155,12 +155,12 @@
     }
 
     /// Takes in a text as the platform serves it; whether it told anything new.
-    pub(crate) fn take_text(&self, body: &[u8]) -> bool {
+    pub(crate) fn apply_published_text(&self, body: &[u8]) -> bool {
         let parsed = Text::parse_bytes(body);
         match (parsed, std::str::from_utf8(body)) {
             (Ok(text), Ok(source)) => {
                 let version = Version::of(text.revision, source);
-                self.take(version, source, text)
+                self.offer(version, source, text)
             }
             (Err(faults), _) => self.refuse_text(faults.to_string()),
             (_, Err(fault)) => self.refuse_text(fault.to_string()),
@@ -168,22 +168,24 @@
     }
 
     /// Takes in a text that a peer has in force.
-    pub(crate) fn take_fetched(&self, version: Version, source: &str) {
+    pub(crate) fn apply_peer_text(&self, version: Version, source: &str) {
         match Text::parse(source) {
             Ok(text) if text.revision == version.revision() => {
-                self.take(version, source, text);
+                self.offer(version, source, text);
             }
-            Ok(_) => self.refuse_fetched(version, source, "its revision is not the announced one"),
-            Err(faults) => self.refuse_fetched(version, source, &faults.to_string()),
+            Ok(_) => {
+                self.refuse_peer_text(version, source, "its revision is not the announced one")
+            }
+            Err(faults) => self.refuse_peer_text(version, source, &faults.to_string()),
         }
     }
 
-    fn refuse_fetched(&self, version: Version, source: &str, reason: &str) {
+    fn refuse_peer_text(&self, version: Version, source: &str, reason: &str) {
         self.control.offer(version, source, Err(reason.into()));
         self.refuse_text(format!("a peer runs {version}, which is refused here: {reason}"));
     }
 
-    fn take(&self, version: Version, source: &str, text: Text) -> bool {
+    fn offer(&self, version: Version, source: &str, text: Text) -> bool {
         let known = self.control.versions();
         match self.control.offer(version, source, Ok(())) {
             Verdict::Adopt => {
@@ -230,16 +232,16 @@
 
     /// Notes that the text read last was refused; the one in force stays.
     ///
-    /// Returns whether that is news.
+    /// Returns whether that is changed.
     pub(crate) fn refuse_text(&self, reason: String) -> bool {
         let mut refused = self.refused.write();
         // The platform is read again and again; one line a refused text is enough.
-        let news = refused.as_ref() != Some(&reason);
-        if news {
+        let changed = refused.as_ref() != Some(&reason);
+        if changed {
             ::log::warn!(reason:% = reason; "text refused");
             *refused = Some(reason);
         }
-        news
+        changed
     }
 
     /// Why the text read last was refused, if it was.
@@ -254,7 +256,7 @@
 
     /// Takes in a host list, unless a newer one was seen; whether it told anything new.
     pub(crate) fn set_hosts(&self, hosts: Hosts) -> bool {
-        self.control.publish(self.clock.now(), &hosts);
+        self.control.apply_host_list(self.clock.now(), &hosts);
         if self.control.is_stale(&hosts) || *self.hosts() == hosts {
             return false;
         }
@@ -263,10 +265,10 @@
             let listed = |snapshot: &Arc<Snapshot>| {
                 Arc::new(Snapshot::clone(snapshot).with_listed_targets(&hosts))
             };
-            let from_list = |snapshot: &&Arc<Snapshot>| {
+            let takes_from_list = |snapshot: &&Arc<Snapshot>| {
                 snapshot.text.services.iter().any(|service| service.targets_from.is_some())
             };
-            if let Some(next) = current.as_ref().filter(from_list).map(listed) {
+            if let Some(next) = current.as_ref().filter(takes_from_list).map(listed) {
                 *current = Some(next);
             }
             *self.hosts.write() = Arc::new(hosts);
@@ -331,17 +333,17 @@
     }
 
     /// Counts a request in progress until the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> Open {
+    pub(crate) fn track_request(self: &Arc<Self>) -> InFlight {
         self.open.fetch_add(1, Ordering::AcqRel);
-        Open(Arc::clone(self))
+        InFlight(Arc::clone(self))
     }
 }
 
 /// One request in progress; a drain waits for all of them.
 #[derive(Debug)]
-pub(crate) struct Open(Arc<Process>);
+pub(crate) struct InFlight(Arc<Process>);
 
-impl Drop for Open {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::AcqRel);
     }
@@ -382,13 +384,13 @@
         let process = Process::open(settings, metrics, http, peer);
         let client = crate::connection::client().await.ok_or(StartError::Client)?;
         let worker = Worker { process: Arc::clone(&process), client };
-        let peers = join(&process, peers, peer)
+        let peers = start_peering(&process, peers, peer)
             .map_err(|reason| StartError::Listen { address: peer, reason })?;
         ntex::rt::spawn(watch::run(worker.clone(), watch::Key::Hosts)).detach();
         ntex::rt::spawn(watch::run(worker.clone(), watch::Key::Text)).detach();
         ntex::rt::spawn(load::run(worker.clone())).detach();
-        ntex::rt::spawn(steward::run(worker)).detach();
-        ntex::rt::spawn(tick(Arc::clone(&process))).detach();
+        ntex::rt::spawn(reconcile::run(worker)).detach();
+        ntex::rt::spawn(run_lanes(Arc::clone(&process))).detach();
         let server = serve(&process, listener)
             .map_err(|reason| StartError::Listen { address: http, reason })?;
         ::log::info!(http:% = http, peer:% = peer; "listening");
@@ -406,7 +408,7 @@
     }
 
     /// Stops listening to peers, so that a replacement may take the address at once.
-    async fn free_peer_address(&mut self) {
+    async fn release_peer_address(&mut self) {
         let (confirm, confirmed) = oneshot::channel();
         let (idle, _) = oneshot::channel();
         let peers = std::mem::replace(&mut self.peers, idle);
@@ -442,36 +444,36 @@
         process.leaving.store(true, Ordering::Release);
         process.control.leave(process.clock.now());
         ::log::info!(open = self.process.open.load(Ordering::Acquire); "draining");
-        ntex::time::sleep(GOODBYE).await;
+        ntex::time::sleep(LEAVE_NOTICE).await;
         while self.process.open.load(Ordering::Acquire) > 0 {
             ntex::time::sleep(DRAIN_POLL).await;
         }
         self.process.stopped.store(true, Ordering::Release);
-        self.free_peer_address().await;
+        self.release_peer_address().await;
         self.server.stop(true).await;
         ::log::info!("stopped");
     }
 }
 
 /// Begins to listen to peers and to speak with them.
-fn join(
+fn start_peering(
     process: &Arc<Process>,
     listener: TcpListener,
     own: SocketAddr,
 ) -> io::Result<oneshot::Sender<oneshot::Sender<()>>> {
     let settings = &process.settings;
     let credentials = Credentials { host: settings.host.clone(), key: settings.peer_key.clone() };
-    let (sender, events) = mpsc::channel(fleet::BACKLOG);
+    let (sender, events) = mpsc::channel(fleet::MAX_PENDING_EVENTS);
     let links = Links::open(credentials, sender);
     let listener = peer::listener(listener)?;
     let (stop, stopped) = oneshot::channel();
     ntex::rt::spawn(Arc::clone(&links).listen(listener, stopped)).detach();
-    ntex::rt::spawn(fleet::seek(Arc::clone(process), Arc::clone(&links), own)).detach();
+    ntex::rt::spawn(fleet::discover(Arc::clone(process), Arc::clone(&links), own)).detach();
     ntex::rt::spawn(fleet::run(Arc::clone(process), links, events)).detach();
     Ok(stop)
 }
 
-async fn tick(process: Arc<Process>) {
+async fn run_lanes(process: Arc<Process>) {
     while !process.is_stopped() {
         ntex::time::sleep(LANE_POLL).await;
         process.poll_lanes();
@@ -492,7 +494,7 @@
             })
             .configure(request::routes)
     })
-    .config(crate::connection::intake::limits())
+    .config(crate::connection::server::config())
     .workers(workers)
     .disable_signals()
     .listen(listener)?
--- a/crates/daemon/src/process/steward.rs
+++ b/crates/daemon/src/process/reconcile.rs
@@ -19,94 +19,94 @@
 use futures_util::future::join_all;
 use smol_str::{SmolStr, ToSmolStr};
 
-use crate::connection::order::{Written, read, write};
+use crate::connection::order::{Outcome, read, write};
 use crate::process::Worker;
-use crate::version::{Snapshot, wanted};
+use crate::version::{Snapshot, desired};
 
 /// How often a steward reads its engines while one of them is not as it should be.
-const BUSY: Duration = Duration::from_secs(1);
+const BUSY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often it reads them otherwise: a new version must be in force within 11 s, and 2.5 engines
 /// a host at the size to design for cost a quarter of a kilobyte a second.
-const IDLE: Duration = Duration::from_secs(4);
+const IDLE_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Runs until the process ends.
 pub(crate) async fn run(worker: Worker) {
-    let mut desk = Desk::default();
+    let mut reconciler = Reconciler::default();
     loop {
-        let busy = !worker.process.is_leaving() && desk.round(&worker).await;
-        ntex::time::sleep(if busy { BUSY } else { IDLE }).await;
+        let busy = !worker.process.is_leaving() && reconciler.round(&worker).await;
+        ntex::time::sleep(if busy { BUSY_INTERVAL } else { IDLE_INTERVAL }).await;
     }
 }
 
 /// What a steward remembers between rounds; losing it costs nothing but a repeated log line and a
 /// load that may begin early.
 #[derive(Debug, Default)]
-struct Desk {
+struct Reconciler {
     pacer: Pacer,
-    troubles: HashMap<id::Target, SmolStr>,
+    reported: HashMap<id::Target, SmolStr>,
 }
 
 /// One version's engines, as one round sees them.
 struct Round<'a> {
     worker: &'a Worker,
     snapshot: Arc<Snapshot>,
-    mark: Epoch,
+    epoch: Epoch,
     engines: Vec<Engine>,
     /// This host's part of the weight store's rate, in bytes a second.
     rate: f64,
 }
 
-impl Desk {
+impl Reconciler {
     /// Reads this host's engines and orders what is due; says whether anything is left to do.
     async fn round(&mut self, worker: &Worker) -> bool {
         let Some(snapshot) = worker.process.serving() else { return true };
         let (revision, digest) = (snapshot.version.revision(), snapshot.version.digest());
-        let mark = match Epoch::of(revision, digest) {
-            Ok(mark) => mark,
+        let epoch = match Epoch::of(revision, digest) {
+            Ok(epoch) => epoch,
             Err(error) => {
                 ::log::warn!(error:% = error; "no engine can be ordered");
                 return false;
             }
         };
-        let engines = wanted::engines(&snapshot.text, &worker.process.hosts());
-        let members = members(worker);
+        let engines = desired::engines(&snapshot.text, &worker.process.hosts());
+        let candidates = candidates(worker);
         let own = &worker.process.settings.host;
         let names: Vec<id::Target> = engines.iter().map(|e| e.target.clone()).collect();
         let rate = snapshot.text.weight_store.map_or(0.0, |store| store.gib_per_second);
-        let rate = rate * wanted::GIB as f64 * pace::share(own, &members, &names).get();
-        let mine = |e: &&Engine| owner::of(&e.target, &members) == Some(own);
-        let mine: Vec<Engine> = engines.iter().filter(mine).cloned().collect();
-        self.troubles.retain(|target, _| mine.iter().any(|e| e.target == *target));
-        let round = Round { worker, snapshot, mark, engines, rate };
-        let observed = round.read(&mine).await;
+        let rate = rate * desired::GIB as f64 * pace::share(own, &candidates, &names).get();
+        let owned = |e: &&Engine| owner::of(&e.target, &candidates) == Some(own);
+        let owned: Vec<Engine> = engines.iter().filter(owned).cloned().collect();
+        self.reported.retain(|target, _| owned.iter().any(|e| e.target == *target));
+        let round = Round { worker, snapshot, epoch, engines, rate };
+        let observed = round.read(&owned).await;
         let mut busy = false;
-        for (engine, observed) in mine.iter().zip(observed) {
-            busy |= self.attend(&round, engine, observed).await;
+        for (engine, observed) in owned.iter().zip(observed) {
+            busy |= self.reconcile(&round, engine, observed).await;
         }
         busy
     }
 
     /// Does what one engine needs; says whether it is not yet as it should be.
-    async fn attend(
+    async fn reconcile(
         &mut self,
         round: &Round<'_>,
         engine: &Engine,
         observed: Option<Observed>,
     ) -> bool {
         let Some(observed) = observed else { return true };
-        match plan::decide(&engine.setup, engine.fencing, round.mark, &observed) {
+        match plan::decide(&engine.setup, engine.fencing, round.epoch, &observed) {
             Ok(Action::Nothing) => {
-                self.troubles.remove(&engine.target);
+                self.reported.remove(&engine.target);
                 observed.loading.is_some()
             }
-            Ok(Action::RaiseFence(order)) => round.give(engine, &order).await == Written::Taken,
+            Ok(Action::RaiseFence(order)) => round.send(engine, &order).await == Outcome::Taken,
             Ok(Action::Load(order)) => {
                 self.load(round, engine, &order).await;
                 true
             }
             Err(error) => {
-                self.trouble(engine, &error.to_smolstr());
+                self.report(engine, &error.to_smolstr());
                 true
             }
         }
@@ -115,27 +115,27 @@
     async fn load(&mut self, round: &Round<'_>, engine: &Engine, order: &Order) {
         if engine.fencing == Fencing::Ignored {
             // Without promises, an entry that paused could undo a newer version's order.
-            return self.trouble(engine, "engines that ignore fencing numbers get no orders yet");
+            return self.report(engine, "engines that ignore fencing numbers get no orders yet");
         }
         let now = round.worker.process.clock.now();
-        if !self.pacer.may_start(now) || !round.may_go(engine).await {
+        if !self.pacer.may_start(now) || !round.may_load(engine).await {
             return;
         }
-        if round.give(engine, order).await != Written::Unknown {
-            self.paid(now, round, engine);
+        if round.send(engine, order).await != Outcome::Unknown {
+            self.charge(now, round, engine);
         }
     }
 
-    fn paid(&mut self, now: Time, round: &Round<'_>, engine: &Engine) {
+    fn charge(&mut self, now: Time, round: &Round<'_>, engine: &Engine) {
         self.pacer.charge(now, engine.weights, round.rate);
-        self.troubles.remove(&engine.target);
+        self.reported.remove(&engine.target);
     }
 
     /// Logs what keeps an engine from being ordered, once for each cause.
-    fn trouble(&mut self, engine: &Engine, cause: &str) {
-        if self.troubles.get(&engine.target).is_none_or(|known| known != cause) {
+    fn report(&mut self, engine: &Engine, cause: &str) {
+        if self.reported.get(&engine.target).is_none_or(|known| known != cause) {
             ::log::warn!(target_name:% = engine.target, cause:% = cause; "engine not ordered");
-            self.troubles.insert(engine.target.clone(), cause.into());
+            self.reported.insert(engine.target.clone(), cause.into());
         }
     }
 }
@@ -143,14 +143,14 @@
 impl Round<'_> {
     async fn read(&self, engines: &[Engine]) -> Vec<Option<Observed>> {
         join_all(engines.iter().map(async |engine| {
-            let address = wanted::address(&self.snapshot.text, engine)?;
+            let address = desired::address(&self.snapshot.text, engine)?;
             read(&self.worker.client, address).await
         }))
         .await
     }
 
     /// Whether the service can do without this engine now; reads all of its engines to know.
-    async fn may_go(&self, engine: &Engine) -> bool {
+    async fn may_load(&self, engine: &Engine) -> bool {
         let peers = self.engines.iter().filter(|peer| peer.service == engine.service);
         let peers: Vec<Engine> = peers.cloned().collect();
         let observed = self.read(&peers).await;
@@ -162,9 +162,9 @@
         rollout::eligible(&engine.service, &statuses).contains(&&engine.target)
     }
 
-    async fn give(&self, engine: &Engine, order: &Order) -> Written {
-        let Some(address) = wanted::address(&self.snapshot.text, engine) else {
-            return Written::Unknown;
+    async fn send(&self, engine: &Engine, order: &Order) -> Outcome {
+        let Some(address) = desired::address(&self.snapshot.text, engine) else {
+            return Outcome::Unknown;
         };
         let written = write(&self.worker.client, address, order).await;
         ::log::info!(
@@ -178,7 +178,7 @@
 }
 
 /// The entries among which stewards are chosen.
-fn members(worker: &Worker) -> Vec<id::Host> {
+fn candidates(worker: &Worker) -> Vec<id::Host> {
     let hosts = worker.process.hosts();
     let usable = |host: &&Host| host.entry.is_some() && host.state == State::Live;
     hosts.hosts.iter().filter(usable).map(|host| host.name.clone()).collect()
--- a/crates/daemon/src/process/tickets.rs
+++ b/crates/daemon/src/process/tickets.rs
@@ -1,4 +1,4 @@
-//! The tickets of this process and the ledger of those that were used.
+//! The tickets of this process and the store of those that were used.
 
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::idempotency::{Claim, MAX_ENTRIES, Outcome, Store};
@@ -10,7 +10,7 @@
 
 /// A reply that is kept for repeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Kept {
+pub(crate) struct StoredReply {
     pub(crate) content_type: Option<String>,
     pub(crate) body: Bytes,
 }
@@ -21,20 +21,20 @@
     clock: Clock,
     host: id::Host,
     instance: id::Instance,
-    ledger: Mutex<Store<Kept>>,
+    store: Mutex<Store<StoredReply>>,
 }
 
 impl Tickets {
     pub(crate) fn open(clock: Clock, host: id::Host) -> Self {
         let instance = id::Instance::new(rand::random());
-        Self { clock, host, instance, ledger: Mutex::new(Store::open(MAX_ENTRIES)) }
+        Self { clock, host, instance, store: Mutex::new(Store::open(MAX_ENTRIES)) }
     }
 
     pub(crate) fn issue(&self) -> Ticket {
         Ticket {
             issuer: self.host.clone(),
             instance: self.instance,
-            sequence: self.ledger.lock().issue(),
+            sequence: self.store.lock().issue(),
             expires: self.clock.now() + LIFETIME,
         }
     }
@@ -46,23 +46,23 @@
     }
 
     /// Whether the ticket names this host, in whatever run of its daemon.
-    pub(crate) fn is_here(&self, ticket: &Ticket) -> bool {
+    pub(crate) fn names_this_host(&self, ticket: &Ticket) -> bool {
         ticket.issuer == self.host
     }
 
-    pub(crate) fn knows(&self, ticket: &Ticket) -> bool {
-        self.ledger.lock().contains(ticket.sequence)
+    pub(crate) fn contains(&self, ticket: &Ticket) -> bool {
+        self.store.lock().contains(ticket.sequence)
     }
 
-    pub(crate) fn claim(&self, ticket: &Ticket, call: u64) -> Claim<Kept> {
-        self.ledger.lock().claim(self.clock.now(), ticket, call)
+    pub(crate) fn claim(&self, ticket: &Ticket, call: u64) -> Claim<StoredReply> {
+        self.store.lock().claim(self.clock.now(), ticket, call)
     }
 
     pub(crate) fn release(&self, ticket: &Ticket) {
-        self.ledger.lock().release(ticket.sequence);
+        self.store.lock().release(ticket.sequence);
     }
 
-    pub(crate) fn settle(&self, ticket: &Ticket, result: Outcome<Kept>, bytes: usize) {
-        self.ledger.lock().complete(ticket.sequence, result, bytes);
+    pub(crate) fn complete(&self, ticket: &Ticket, result: Outcome<StoredReply>, bytes: usize) {
+        self.store.lock().complete(ticket.sequence, result, bytes);
     }
 }
--- a/crates/daemon/src/request/body.rs
+++ b/crates/daemon/src/request/body.rs
@@ -6,17 +6,17 @@
 
 use futures_util::Stream;
 
-use crate::process::Open;
+use crate::process::InFlight;
 
 /// A stream of chunks that keeps a drain waiting while it lives.
 #[derive(Debug)]
 pub(crate) struct Body<S> {
     chunks: S,
-    _open: Rc<Open>,
+    _open: Rc<InFlight>,
 }
 
 impl<S> Body<S> {
-    pub(crate) fn open(chunks: S, open: Rc<Open>) -> Self {
+    pub(crate) fn open(chunks: S, open: Rc<InFlight>) -> Self {
         Self { chunks, _open: open }
     }
 }
--- a/crates/daemon/src/request/completion.rs
+++ b/crates/daemon/src/request/completion.rs
@@ -25,7 +25,7 @@
 use crate::connection::engine::Site;
 use crate::process::clock::unix_s;
 use crate::process::limits::Permit;
-use crate::process::{Open, Worker};
+use crate::process::{InFlight, Worker};
 use crate::request::body::Body;
 use crate::request::outlet::{Form, Head, Outlet, Reply};
 use crate::request::relay::{Attempt, Job, Relay};
@@ -57,7 +57,7 @@
     http: HttpRequest,
     body: Result<web::types::Json<Completion>, JsonPayloadError>,
 ) -> HttpResponse {
-    let open = Rc::new(worker.process.enter());
+    let open = Rc::new(worker.process.track_request());
     let Some(snapshot) = worker.process.serving() else {
         return refuse::not_ready();
     };
@@ -87,7 +87,7 @@
 struct Call<'a> {
     worker: &'a Worker,
     http: &'a HttpRequest,
-    open: Rc<Open>,
+    open: Rc<InFlight>,
     lane: Arc<Lane>,
     service: &'a Service,
     snapshot: &'a Snapshot,
@@ -231,7 +231,7 @@
     values.flat_map(|value| value.split(',')).any(|word| word.trim() == kind)
 }
 
-fn respond(reply: Reply, open: Rc<Open>) -> HttpResponse {
+fn respond(reply: Reply, open: Rc<InFlight>) -> HttpResponse {
     let (head, mut response) = match reply {
         Reply::Failed(problem) => return refuse::respond(&problem),
         Reply::Stream(ref head, _) | Reply::Body(ref head, _) => (head.clone(), HttpResponse::Ok()),
--- a/crates/daemon/src/request/plain/forward.rs
+++ b/crates/daemon/src/request/plain/forward.rs
@@ -12,7 +12,7 @@
 use ntex::util::Bytes;
 use ntex::web::HttpResponse;
 
-use crate::connection::fresh;
+use crate::connection::unpooled;
 use crate::process::Worker;
 use crate::request::plain::message::{Message, end_to_end, patience};
 use crate::request::refuse;
@@ -62,7 +62,8 @@
     address: SocketAddr,
     body: Bytes,
 ) -> Option<HttpResponse> {
-    let mut request = fresh(&worker.client, message.method.clone(), address, &message.entry_path);
+    let mut request =
+        unpooled(&worker.client, message.method.clone(), address, &message.entry_path);
     for (name, value) in &message.headers {
         request.headers_mut().append(name.clone(), value.clone());
     }
@@ -91,7 +92,7 @@
 /// Returns once the issuer does not say in time that it is alive.
 async fn silenced(worker: &Worker, address: SocketAddr) {
     loop {
-        let asked = fresh(&worker.client, Method::GET, address, "/healthz").send();
+        let asked = unpooled(&worker.client, Method::GET, address, "/healthz").send();
         match timeout(ALIVE_TIMEOUT, asked).await {
             Ok(Ok(_)) => sleep(ALIVE_INTERVAL).await,
             Ok(Err(_)) | Err(()) => return,
--- a/crates/daemon/src/request/plain/mod.rs
+++ b/crates/daemon/src/request/plain/mod.rs
@@ -35,7 +35,7 @@
     path: web::types::Path<(String, String)>,
     payload: web::types::Payload,
 ) -> HttpResponse {
-    let open = Rc::new(worker.process.enter());
+    let open = Rc::new(worker.process.track_request());
     // Guards against refusals that nobody reads: a response to a body that is still unread closes
     // the connection, and its caller sees a failed write instead of the remedy.
     let upload = match Upload::open(&http, payload).await {
--- a/crates/daemon/src/request/plain/repeatable.rs
+++ b/crates/daemon/src/request/plain/repeatable.rs
@@ -18,8 +18,8 @@
 use ntex::util::Bytes;
 use ntex::web::{HttpResponse, types};
 
-use crate::connection::{fresh, unwritten};
-use crate::process::{Open, Worker};
+use crate::connection::{unpooled, unwritten};
+use crate::process::{InFlight, Worker};
 use crate::request::body::Body;
 use crate::request::plain::message::{Message, Upload, end_to_end, patience};
 use crate::request::plain::{MAX_BODY, address, ask};
@@ -41,7 +41,7 @@
     service: &Service,
     message: Message,
     upload: Upload,
-    open: Rc<Open>,
+    open: Rc<InFlight>,
 ) -> HttpResponse {
     match upload {
         Upload::Kept(body) => kept(worker, service, &message, body, open).await,
@@ -55,7 +55,7 @@
     service: &Service,
     message: &Message,
     body: Bytes,
-    open: Rc<Open>,
+    open: Rc<InFlight>,
 ) -> HttpResponse {
     let Some(lane) = worker.process.lane(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
@@ -110,7 +110,7 @@
             worker.client.request(message.method.clone(), url)
         }
         // The pool may hold more connections that went silent, or that close as they are used.
-        _ => fresh(&worker.client, message.method.clone(), address, &message.path),
+        _ => unpooled(&worker.client, message.method.clone(), address, &message.path),
     };
     let objective = Duration::from_millis(service.objective.first_token_ms);
     let slow = (objective * SLOW_OBJECTIVES).clamp(SLOW.0, SLOW.1).min(patience(service));
@@ -127,7 +127,7 @@
     service: &Service,
     message: Message,
     payload: types::Payload,
-    open: Rc<Open>,
+    open: Rc<InFlight>,
 ) -> HttpResponse {
     let Some(lane) = worker.process.lane(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
@@ -143,7 +143,7 @@
     let Some(address) = address(service, pass.target()) else {
         return refuse::target_failed(Ran::No);
     };
-    let request = fresh(&worker.client, message.method.clone(), address, &message.path);
+    let request = unpooled(&worker.client, message.method.clone(), address, &message.path);
     let body = Bounded { payload: payload.into_inner(), left: MAX_BODY };
     match message.dress(request).send_stream(body).await {
         Ok(response) => {
@@ -162,7 +162,12 @@
 }
 
 /// Passes a target's reply on as it arrives.
-fn reply(method: &Method, response: ClientResponse, pass: Pass, open: Rc<Open>) -> HttpResponse {
+fn reply(
+    method: &Method,
+    response: ClientResponse,
+    pass: Pass,
+    open: Rc<InFlight>,
+) -> HttpResponse {
     pass.finish(Outcome::Whole);
     let mut built = HttpResponse::build(response.status());
     for (name, value) in &end_to_end(response.headers()) {
--- a/crates/daemon/src/request/plain/ticketed.rs
+++ b/crates/daemon/src/request/plain/ticketed.rs
@@ -17,9 +17,9 @@
 use ntex::web::{self, HttpRequest, HttpResponse};
 use tokio::sync::oneshot;
 
-use crate::connection::{fresh, unwritten};
-use crate::process::tickets::Kept;
-use crate::process::{Open, Worker};
+use crate::connection::{unpooled, unwritten};
+use crate::process::tickets::StoredReply;
+use crate::process::{InFlight, Worker};
 use crate::request::plain::message::{BodyError, Message, Upload, end_to_end, patience};
 use crate::request::plain::{MAX_KEPT, address, ask, forward};
 use crate::request::{entries, refuse};
@@ -63,7 +63,7 @@
     service: &Service,
     message: Message,
     upload: Upload,
-    open: Rc<Open>,
+    open: Rc<InFlight>,
 ) -> HttpResponse {
     let Some(text) = message.ticket() else { return refuse::ticket_needed() };
     let key = &worker.process.key;
@@ -80,12 +80,12 @@
     if !tickets.issued(&ticket) {
         // A ticket of an earlier run of this host, or one passed on to a host that does not know
         // it: what became of its call is forgotten, so nobody may run it.
-        if tickets.is_here(&ticket) || message.forwarded() {
+        if tickets.names_this_host(&ticket) || message.forwarded() {
             return refuse::respond(&refuse::issuer_gone());
         }
         return forward::call(worker, service, &message, &ticket, body).await;
     }
-    if worker.process.is_leaving() && !tickets.knows(&ticket) {
+    if worker.process.is_leaving() && !tickets.contains(&ticket) {
         return refuse::leaving(entries::list(&worker.process, message.workspace.as_str()));
     }
     claimed(worker, service, message, ticket, body, open).await
@@ -97,7 +97,7 @@
     message: Message,
     ticket: Ticket,
     body: Bytes,
-    open: Rc<Open>,
+    open: Rc<InFlight>,
 ) -> HttpResponse {
     let request = message.request;
     match worker.process.tickets.claim(&ticket, digest(&message, &body)) {
@@ -135,7 +135,7 @@
     hasher.finish()
 }
 
-fn replay(status: u16, kept: Kept) -> HttpResponse {
+fn replay(status: u16, kept: StoredReply) -> HttpResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
     let mut response = HttpResponse::build(status);
     if let Some(content_type) = kept.content_type {
@@ -159,9 +159,9 @@
         Some(Self { status, headers, body })
     }
 
-    fn kept(&self) -> Kept {
+    fn kept(&self) -> StoredReply {
         let content_type = self.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
-        Kept { content_type: content_type.map(str::to_owned), body: self.body.clone() }
+        StoredReply { content_type: content_type.map(str::to_owned), body: self.body.clone() }
     }
 
     fn respond(self, request: fireflyhoist_policy::id::Request) -> HttpResponse {
@@ -189,7 +189,7 @@
             Ok(reply) => {
                 let status = reply.status.as_u16();
                 let ending = Ending::Replied { status, reply: Some(reply.kept()) };
-                tickets.settle(&self.ticket, ending, reply.body.len());
+                tickets.complete(&self.ticket, ending, reply.body.len());
                 Ok(reply)
             }
             Err(problem) if problem.ran == Ran::No => {
@@ -197,7 +197,7 @@
                 Err(problem)
             }
             Err(problem) => {
-                tickets.settle(&self.ticket, Ending::Unknown, 0);
+                tickets.complete(&self.ticket, Ending::Unknown, 0);
                 Err(problem)
             }
         }
@@ -218,7 +218,7 @@
             // Guards against a second write: a pooled connection may die between two calls, which
             // looks the same as dying after it carried this one. A connection of its own leaves
             // one case in which nothing was written, and only then is another target tried.
-            let request = fresh(&worker.client, message.method.clone(), address, &message.path);
+            let request = unpooled(&worker.client, message.method.clone(), address, &message.path);
             let sent = message.dress(request).send_body(body.clone());
             match timeout(patience(service), sent).await {
                 Ok(Err(error)) if unwritten(&error) => pass.finish(Outcome::Failed),
--- a/crates/daemon/src/request/relay.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -21,7 +21,7 @@
 use crate::connection::engine::{self, Link, Site};
 use crate::process::burn::Watch;
 use crate::process::limits::Permit;
-use crate::process::{Open, Worker};
+use crate::process::{InFlight, Worker};
 use crate::request::outlet::{Gone, Head, Outlet};
 use crate::request::refuse;
 use fireflyhoist_gateway::{Lane, Pass};
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub(crate) struct Relay {
     pub(crate) worker: Worker,
-    pub(crate) open: Rc<Open>,
+    pub(crate) open: Rc<InFlight>,
     pub(crate) lane: Arc<Lane>,
     pub(crate) job: Job,
     pub(crate) session: Session,
--- a/crates/daemon/src/version/listed.rs
+++ b/crates/daemon/src/version/host_targets.rs
@@ -6,21 +6,20 @@
 use fireflyhoist_wire::platform::{Host, Hosts, Serving, State};
 
 /// Gives a service with `targets_from` the targets that hosts are listed to run for it.
-pub(crate) fn fill(service: Service, hosts: &Hosts) -> Service {
+pub(crate) fn resolve(service: Service, hosts: &Hosts) -> Service {
     if service.targets_from.is_none() {
         return service;
     }
-    let staying = hosts.hosts.iter().filter(|host| host.state == State::Live);
+    let live = hosts.hosts.iter().filter(|host| host.state == State::Live);
     let leaving = hosts.hosts.iter().filter(|host| host.state == State::Leaving);
-    let serving =
-        staying.chain(leaving).flat_map(|host| host.serves.iter().map(move |s| (host, s)));
-    let mut named = BTreeSet::new();
+    let serving = live.chain(leaving).flat_map(|host| host.serves.iter().map(move |s| (host, s)));
+    let mut seen = BTreeSet::new();
     // A list in the middle of a replacement names a target on its old and on its new host. Both
     // under one name would mix up their loads, and the old one is about to go.
-    let once = serving
+    let unique = serving
         .filter(|(_, serving)| serving.service == service.name)
-        .filter(|(_, serving)| named.insert(&serving.target));
-    let targets = once.map(|(host, serving)| target(host, serving)).collect();
+        .filter(|(_, serving)| seen.insert(&serving.target));
+    let targets = unique.map(|(host, serving)| target(host, serving)).collect();
     Service { targets, ..service }
 }
 
--- a/crates/daemon/src/version/mod.rs
+++ b/crates/daemon/src/version/mod.rs
@@ -1,7 +1,7 @@
 //! What lives as long as a version of the text is in force.
 
-mod listed;
-pub(crate) mod wanted;
+pub(crate) mod desired;
+mod host_targets;
 pub(crate) mod watch;
 
 use fireflyhoist_text::{Text, Version};
@@ -18,7 +18,7 @@
     /// The same version with the targets that the host list names at the moment.
     pub(crate) fn with_listed_targets(self, hosts: &Hosts) -> Self {
         let services = self.text.services.into_iter();
-        let services = services.map(|service| listed::fill(service, hosts)).collect();
+        let services = services.map(|service| host_targets::resolve(service, hosts)).collect();
         Self { text: Text { services, ..self.text }, ..self }
     }
 }
--- a/crates/daemon/src/version/watch.rs
+++ b/crates/daemon/src/version/watch.rs
@@ -13,7 +13,7 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a watch waits at the platform for a change; each counts as a call.
-const WAIT: Duration = Duration::from_secs(25);
+const LONG_POLL: Duration = Duration::from_secs(25);
 
 /// How long to wait after a read that failed or told nothing new, twice as long each time.
 const BACKOFF: Duration = Duration::from_millis(250);
@@ -23,7 +23,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// How often a process that does not watch looks whether it should.
-const LOOK: Duration = Duration::from_millis(500);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The largest value that the platform holds.
 const MAX_VALUE: usize = 1 << 20;
@@ -39,9 +39,9 @@
 #[derive(Debug)]
 enum Answer {
     /// Another value than before.
-    New { sequence: Option<u64>, body: Vec<u8> },
+    Changed { sequence: Option<u64>, body: Vec<u8> },
     /// The same as before, or that nothing is published yet.
-    Same { sequence: Option<u64> },
+    Unchanged { sequence: Option<u64> },
     /// Nothing: it cannot be reached or is broken.
     Failed,
 }
@@ -52,26 +52,26 @@
     let mut backoff = BACKOFF;
     while !worker.process.is_stopped() {
         let watching = worker.process.control.is_watcher();
-        let wait = if watching && after.is_some() { WAIT } else { Duration::ZERO };
-        let learnt = match read(&worker, key, after, wait).await {
-            Answer::New { sequence, body } => {
+        let wait = if watching && after.is_some() { LONG_POLL } else { Duration::ZERO };
+        let changed = match fetch(&worker, key, after, wait).await {
+            Answer::Changed { sequence, body } => {
                 after = sequence;
-                take(&worker, key, &body)
+                apply(&worker, key, &body)
             }
-            Answer::Same { sequence } => {
+            Answer::Unchanged { sequence } => {
                 let changed = sequence != after;
                 after = sequence;
-                answered(&worker, key, Contact::Answered);
+                record_contact(&worker, key, Contact::Answered);
                 changed || !wait.is_zero()
             }
             Answer::Failed => {
-                answered(&worker, key, Contact::Silent);
+                record_contact(&worker, key, Contact::Silent);
                 false
             }
         };
         // The failure: a stale platform differs from what the watch asks after and answers it at
-        // once, again and again. Whatever tells nothing new is asked ever more slowly.
-        backoff = if learnt { BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
+        // once, again and again. Whatever tells nothing new is contact ever more slowly.
+        backoff = if changed { BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
         pause(&worker, watching, backoff).await;
     }
 }
@@ -85,25 +85,25 @@
     }
     let mut left = worker.process.control.poll_interval();
     while !left.is_zero() && !worker.process.control.is_watcher() && !worker.process.is_stopped() {
-        let nap = left.min(LOOK);
-        ntex::time::sleep(nap).await;
-        left -= nap;
+        let step = left.min(ROLE_CHECK_INTERVAL);
+        ntex::time::sleep(step).await;
+        left -= step;
     }
 }
 
-fn answered(worker: &Worker, key: Key, asked: Contact) {
+fn record_contact(worker: &Worker, key: Key, contact: Contact) {
     if key == Key::Text {
-        worker.process.control.platform(asked);
+        worker.process.control.set_platform_contact(contact);
     }
 }
 
 /// Hands a value on; whether it told anything new.
-fn take(worker: &Worker, key: Key, body: &[u8]) -> bool {
+fn apply(worker: &Worker, key: Key, body: &[u8]) -> bool {
     match key {
         Key::Text => {
-            let learnt = worker.process.take_text(body);
-            answered(worker, key, Contact::Answered);
-            learnt
+            let changed = worker.process.apply_published_text(body);
+            record_contact(worker, key, Contact::Answered);
+            changed
         }
         Key::Hosts => match serde_json::from_slice::<Hosts>(body) {
             Ok(hosts) => worker.process.set_hosts(hosts),
@@ -115,7 +115,7 @@
     }
 }
 
-async fn read(worker: &Worker, key: Key, after: Option<u64>, wait: Duration) -> Answer {
+async fn fetch(worker: &Worker, key: Key, after: Option<u64>, wait: Duration) -> Answer {
     let path = match key {
         Key::Text => "text",
         Key::Hosts => "hosts",
@@ -136,11 +136,11 @@
     let sequence = header.and_then(|value| value.to_str().ok()).and_then(|text| text.parse().ok());
     match response.status() {
         StatusCode::OK => match response.body().limit(MAX_VALUE + 1).await {
-            Ok(body) => Answer::New { sequence, body: body.to_vec() },
+            Ok(body) => Answer::Changed { sequence, body: body.to_vec() },
             Err(_) => Answer::Failed,
         },
-        StatusCode::NOT_MODIFIED => Answer::Same { sequence: after },
-        StatusCode::NOT_FOUND => Answer::Same { sequence },
+        StatusCode::NOT_MODIFIED => Answer::Unchanged { sequence: after },
+        StatusCode::NOT_FOUND => Answer::Unchanged { sequence },
         _ => Answer::Failed,
     }
 }
