--- a/crates/daemon/src/connection/engine.rs
+++ b/crates/daemon/src/connection/engine.rs
@@ -1,4 +1,4 @@
-//! One link to an engine that carries one generation's stream.
+//! Connections to engines, each of which carries the stream of one generation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 
 use crate::connection::{unpooled, unwritten};
 
-/// How long an engine may take to take note of a cancel.
+/// The timeout of a cancel request to an engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where a generation runs and who reads it.
+/// The engine that runs a generation, the generation and its reader.
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
     pub(crate) address: SocketAddr,
@@ -24,14 +24,16 @@
     pub(crate) reader: id::Request,
 }
 
-/// A link whose engine has answered that it has the generation.
+/// A connection whose engine has confirmed that it runs the generation.
 #[derive(Debug)]
 pub(crate) struct Link {
     payload: Payload,
 }
 
 impl Link {
-    /// Begins a generation; the engine runs it once, however often it is begun under one id.
+    /// Starts a generation.
+    ///
+    /// The engine runs it once, however often a start with the same id arrives.
     pub(crate) async fn start(
         client: &Client,
         site: &Site,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Goes on with a generation from the token at `from` on.
+    /// Resumes reading a generation from the token at offset `from`.
     pub(crate) async fn resume(
         client: &Client,
         site: &Site,
@@ -60,13 +62,15 @@
         let response = response_within(request.send(), answer_timeout).await?;
         match response.status() {
             status if status.is_success() => Ok(Self { payload: response.take_payload() }),
-            // Too busy to answer is no reason to give up a generation that it may still run.
+            // An overloaded engine may still run the generation, so it is not given up.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(Failure::Cut),
             _ => Err(Failure::Lost),
         }
     }
 
-    /// The next bytes; the end of the connection counts as a cut, since the end mark is an event.
+    /// Reads the next bytes.
+    ///
+    /// The end of the connection is [`Failure::Cut`], because a complete stream ends with an event.
     pub(crate) async fn read(&mut self) -> Result<Bytes, Failure> {
         match stream_recv(&mut self.payload).await {
             Some(Ok(bytes)) => Ok(bytes),
@@ -76,7 +80,7 @@
 }
 
 fn request(client: &Client, method: Method, site: &Site, path: &str) -> ClientRequest {
-    // Guards against resuming into another silent connection of the pool: each link is new.
+    // A pooled connection could be as silent as the one that failed, so each link opens a new one.
     unpooled(client, method, site.address, path).header(READER_HEADER, site.reader.to_string())
 }
 
@@ -92,10 +96,10 @@
     }
 }
 
-/// Tells the engine that this reader waits for the generation no more.
+/// Cancels this reader's interest in a generation at its engine; errors are ignored.
 pub(crate) async fn cancel(client: &Client, site: &Site) {
     let path = format!("/v1/streams/{}", site.generation);
     let request = request(client, Method::DELETE, site, &path);
-    // An engine that cannot be reached goes on until it notices that nobody reads.
+    // An engine that cannot be reached generates until it notices that the stream has no reader.
     drop(timeout(CANCEL_TIMEOUT, request.send()).await);
 }
--- a/crates/daemon/src/connection/handshake.rs
+++ b/crates/daemon/src/connection/handshake.rs
@@ -1,4 +1,4 @@
-//! The first frames of a link, by which both ends prove the settings' key.
+//! The handshake of a link, in which both ends prove that they know the configured key.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,14 +14,16 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-/// How long connecting and proving may take together: many round trips between regions, and short
-/// enough that strangers who say nothing hold no sockets.
+/// The timeout of connecting and the handshake together.
+///
+/// It allows many round trips between regions, and is short enough that silent connections of
+/// unauthenticated clients do not accumulate.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A link's socket.
+/// The WebSocket connection of a link.
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-/// Why a link does not come about.
+/// The reason why a link could not be established.
 #[derive(Debug, Display, Error)]
 pub(crate) enum LinkError {
     #[display("no connection; see whether the host is up")]
@@ -38,7 +40,7 @@
     WrongHost { found: id::Host, expected: id::Host },
 }
 
-/// Who speaks for this end.
+/// The host name and key by which this process authenticates.
 #[derive(Clone, Debug)]
 pub(crate) struct Credentials {
     pub(crate) host: id::Host,
@@ -46,14 +48,17 @@
 }
 
 fn config() -> WebSocketConfig {
-    // A stranger or a faulty peer could otherwise make this end hold 64 MB for one message.
+    // The default lets an unauthenticated client or a faulty peer make this end buffer 64 MB for
+    // one message.
     WebSocketConfig::default()
         .read_buffer_size(8 << 10)
         .max_message_size(Some(MAX_FRAME))
         .max_frame_size(Some(MAX_FRAME))
 }
 
-/// Connects to a daemon and proves both ends; the host that answers must be `expected`, if known.
+/// Connects to a daemon and authenticates both ends.
+///
+/// Fails if `expected` is given and another host answers.
 pub(crate) async fn dial(
     credentials: &Credentials,
     address: SocketAddr,
@@ -64,7 +69,7 @@
         .map_err(|_| LinkError::TimedOut)?
 }
 
-/// Takes in a connection and proves both ends.
+/// Accepts a connection and authenticates both ends.
 pub(crate) async fn accept(
     credentials: &Credentials,
     stream: TcpStream,
@@ -118,8 +123,8 @@
     let Frame::Hello { host, challenge, proof } = receive(&mut socket).await? else {
         return Err(LinkError::Unexpected);
     };
-    // The failure: a stranger that reaches the port feeds the fleet a member list or a text of its
-    // own. Nothing but the handshake is read before the key is proved.
+    // No frame but the handshake's is read before the key is proved; otherwise anyone who reaches
+    // the port could inject a member list or a text into the fleet.
     proof::verify(&credentials.key, Role::Dialer, challenge, ours, &host, &proof)
         .map_err(LinkError::Unverified)?;
     let proof = proof::prove(&credentials.key, Role::Listener, challenge, ours, &credentials.host);
--- a/crates/daemon/src/connection/load.rs
+++ b/crates/daemon/src/connection/load.rs
@@ -1,4 +1,4 @@
-//! Reads the engines' load reports for the gates.
+//! Polls the engines' load reports, which the gates use for admission.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 use crate::process::Worker;
 
-/// How often each engine is asked; well below the seconds by which reports lag anyway.
+/// The interval between polls; well below the seconds by which reports lag anyway.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an engine may take to answer.
+/// The timeout of one poll of an engine.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
 pub(crate) async fn run(worker: Worker) {
--- a/crates/daemon/src/connection/mod.rs
+++ b/crates/daemon/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: the client's pool and the streams of engines.
+//! State with the lifetime of a connection: the HTTP client's pool, engine streams and peer links.
 
 pub(crate) mod engine;
 pub(crate) mod handshake;
@@ -21,27 +21,28 @@
 use ntex::service::apply_fn_factory;
 use ntex::time::Millis;
 
-/// How long opening a connection may take; a hundred round trips between failure domains.
+/// The timeout of opening a connection; a hundred round trips between failure domains.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connections that one worker's client may hold.
+/// The maximum number of connections of one worker's client.
 ///
-/// The gates bound what is sent, so this only has to stay out of their way; the library's own
-/// default of 8 made the ninth stream wait unseen behind a generation. It must not be 0, which the
-/// library calls unlimited but which never wakes a request that waited for a connection.
+/// The gates bound what is sent, so this only has to be higher than they allow; with the library's
+/// default of 8, the ninth stream would wait behind a generation without the gate's knowledge. It
+/// must not be 0, which the library documents as unlimited but which never wakes a request that
+/// waited for a connection.
 const MAX_CONNECTIONS: usize = 65_536;
 
 /// Builds one worker's client.
 ///
-/// It follows no redirects, since a redirected POST would be sent twice, and sets no timeout of
-/// its own: each call sets the one that fits.
+/// It follows no redirects, because a redirected POST would be sent twice, and has no default
+/// timeout: each call sets its own.
 pub(crate) async fn client() -> Option<Client> {
     let io = IoConfig::new().set_connect_timeout(Millis::from(CONNECT_TIMEOUT));
     let open = connect::Connector::<Uri>::new();
     let open = apply_fn_factory(open, async |message: connect::Connect<Uri>, open| {
-        // Guards against a false `ran: no`: the client reports a target that read a call and hung
-        // up as a failed connect too. Only this step maps to `NoRecords`, so that variant alone
-        // proves that nothing was written.
+        // The client also reports a failed connect where a target read a call and closed the
+        // connection, which would make `ran: no` false. Only failures to open a connection are
+        // mapped to `NoRecords` here, so that variant alone proves that nothing was written.
         open.call(message).await.map_err(|_| connect::ConnectError::NoRecords)
     });
     Client::builder()
@@ -54,16 +55,16 @@
         .ok()
 }
 
-/// Whether the call failed before a connection was open, so that no byte of it was written.
+/// Returns whether the call failed before a connection was open, so no byte of it was written.
 pub(crate) fn unwritten(error: &ClientError) -> bool {
     matches!(error, ClientError::Connect(ConnectError::NoRecords))
 }
 
-/// A request over a connection of its own, which is closed after it.
+/// Returns a request over a new connection, which is closed after it.
 ///
-/// Pooled connections may have gone silent or may close as the request is written, and the pool
-/// opens connections to one address one after the other. An authority used once keeps this request
-/// out of all that.
+/// Pooled connections may be silently broken or may close while the request is written, and the
+/// pool opens connections to one address one after the other. An authority that is used only once
+/// bypasses the pool.
 pub(crate) fn unpooled(
     client: &Client,
     method: Method,
--- a/crates/daemon/src/connection/order.rs
+++ b/crates/daemon/src/connection/order.rs
@@ -1,4 +1,4 @@
-//! Reading what an engine holds and giving it orders.
+//! Reads the state of engines and sends them orders.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,21 +8,21 @@
 use ntex::client::Client;
 use ntex::http::StatusCode;
 
-/// How long an engine may take to say what it holds; reads stand in nobody's way.
+/// The timeout of reading an engine's state; reads block nothing else.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What became of an order.
+/// The outcome of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The engine says that it took it.
+    /// The engine accepted the order.
     Taken,
     /// The engine has seen a higher fencing number.
     Refused(Refused),
-    /// It may have arrived, may arrive later, or is lost; only the next read can tell.
+    /// The order may have arrived, may arrive later or may be lost; only the next read shows which.
     Unknown,
 }
 
-/// What the engine at `address` holds, or `None` where it does not say.
+/// Returns the state of the engine at `address`, or `None` if reading it fails.
 pub(crate) async fn read(client: &Client, address: SocketAddr) -> Option<Observed> {
     let url = format!("http://{address}{PATH}");
     let response = client.get(url).timeout(READ_TIMEOUT).send().await.ok()?;
@@ -32,7 +32,7 @@
     response.json().await.ok()
 }
 
-/// Gives an order, once.
+/// Sends an order once, without retries.
 pub(crate) async fn write(client: &Client, address: SocketAddr, order: &Order) -> Outcome {
     let url = format!("http://{address}{PATH}");
     let Ok(response) = client.post(url).timeout(WRITE_TIMEOUT).send_json(order).await else {
--- a/crates/daemon/src/connection/peer.rs
+++ b/crates/daemon/src/connection/peer.rs
@@ -1,4 +1,4 @@
-//! Links between daemons: opened when something is to be said, replaced when they fall silent.
+//! Links between daemons: opened when there is a frame to send, replaced when they go silent.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,32 +17,35 @@
 
 use crate::connection::handshake::{self, Credentials, LinkError, Socket};
 
-/// Frames that wait for one link; more are dropped, since heartbeats repeat what they say.
+/// The maximum number of frames queued for one link; more are dropped, because later heartbeats
+/// repeat their content.
 const MAX_QUEUED_FRAMES: usize = 64;
 
-/// A link on which nothing came for this long is pinged: more than a heartbeat.
+/// A link that received nothing for this long is pinged; longer than a heartbeat interval.
 const PING_AFTER: Duration = Duration::from_millis(2_500);
 
-/// A link on which even the ping is not answered by then is given up.
+/// A link that received nothing for this long, not even the answer to the ping, is closed.
 const DEAD_AFTER: Duration = Duration::from_secs(5);
 
-/// A link that carried no frame either way for this long is closed; probes and partings leave some.
+/// A link that carried no frame in either direction for this long is closed; probes and leaving
+/// members leave such links behind.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long one frame may take to be written before the link counts as stuck.
+/// The timeout of writing one frame; then the link counts as stuck and is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Connections of which the key is not proved yet; further ones wait in the listener's queue.
+/// The maximum number of concurrent inbound handshakes; further connections wait in the listener's
+/// queue.
 const MAX_HANDSHAKES: usize = 32;
 
-/// What the links tell the process.
+/// An event that the links report to the process.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A frame from a host that proved the key; `era` tells frames from before a reset.
+    /// A frame from an authenticated host; `era` identifies frames read before a reset.
     Frame { era: u64, from: id::Host, frame: Frame },
-    /// A host that answered at an address of the settings.
+    /// A host that answered at a configured address.
     Discovered(id::Host, SocketAddr),
-    /// A host cannot be reached.
+    /// A host that cannot be reached.
     Unreachable(id::Host),
 }
 
@@ -73,12 +76,12 @@
         })
     }
 
-    /// The era that frames must carry to count.
+    /// Returns the current era; frames of earlier eras must be ignored.
     pub(crate) fn era(&self) -> u64 {
         self.era.load(Ordering::Acquire)
     }
 
-    /// Sends a frame over the newest link to a host, opening one where there is none.
+    /// Queues a frame on the newest link to a host, opening one if there is none.
     pub(crate) fn send(self: &Arc<Self>, to: &id::Host, address: SocketAddr, frame: &Frame) {
         let bytes = peer::encode(frame);
         let mut open = self.open.lock();
@@ -103,13 +106,13 @@
         }
     }
 
-    /// Closes every link and disowns what they have read.
+    /// Closes every link and starts a new era, so that frames read before are ignored.
     pub(crate) fn reset(&self) {
         self.era.fetch_add(1, Ordering::AcqRel);
         self.open.lock().clear();
     }
 
-    /// Looks who answers at an address of the settings, and keeps the link.
+    /// Dials a configured address, reports the host that answers and keeps the link.
     pub(crate) async fn discover(self: &Arc<Self>, address: SocketAddr) {
         let Ok((socket, host)) = handshake::dial(&self.credentials, address, None).await else {
             return;
@@ -122,7 +125,7 @@
         ntex::rt::spawn(async move { links.run_link(socket, host, number, frames).await }).detach();
     }
 
-    /// Takes in links until it is told to stop, which it confirms once the address is free again.
+    /// Accepts links until `stop` resolves, then frees the address and confirms.
     pub(crate) async fn listen(
         self: Arc<Self>,
         listener: TcpListener,
@@ -133,7 +136,7 @@
             confirm = stop => {
                 drop(listener);
                 if let Ok(confirm) = confirm {
-                    // Nobody waits any more where the daemon was dropped meanwhile.
+                    // The receiver is gone if the daemon was dropped meanwhile.
                     let _ = confirm.send(());
                 }
             }
@@ -145,7 +148,7 @@
         loop {
             let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
             let Ok((stream, from)) = listener.accept().await else {
-                // Out of descriptors, most likely: the closing of others frees some.
+                // Most likely out of file descriptors; closing connections frees some.
                 ntex::time::sleep(Duration::from_millis(100)).await;
                 continue;
             };
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Reads and writes one link until either end gives it up.
+    /// Reads and writes one link until either end closes it or it times out.
     async fn run_link(
         self: Arc<Self>,
         socket: Socket,
@@ -216,7 +219,7 @@
         let era = self.era();
         let (mut sink, mut source) = socket.split();
         let (mut read, mut used, mut pinged) = (Instant::now(), Instant::now(), false);
-        // Still wanted for reading after `frames` closed: the other end may know no newer link.
+        // After `frames` closed the link is still read: the other end may not know a newer link.
         let mut writable = true;
         while self.era() == era {
             let deadline = read + if pinged { DEAD_AFTER } else { PING_AFTER };
@@ -242,9 +245,9 @@
                     Some(Ok(_)) => (read, pinged) = (Instant::now(), false),
                 },
                 () = tokio::time::sleep_until(deadline) => {
-                    // The failure: something between the ends lost track of the connection, and
-                    // whoever waits on it waits for good, while new connections work. No answer to
-                    // a ping within the deadline closes it, and the next frame opens a new one.
+                    // A middlebox may drop the state of the connection, so that nothing arrives on
+                    // it any more although new connections work. A link without an answer to the
+                    // ping is closed, and the next frame opens a new one.
                     if pinged || used.elapsed() >= IDLE_TIMEOUT {
                         break;
                     }
@@ -259,7 +262,7 @@
         let _ = timeout(WRITE_TIMEOUT, sink.close()).await;
     }
 
-    /// Whether a link to this host is known at all.
+    /// Returns whether there is a link to this host.
     fn has_link(&self, host: &id::Host) -> bool {
         self.open.lock().contains_key(host)
     }
@@ -285,7 +288,7 @@
     matches!(timeout(WRITE_TIMEOUT, sink.send(message)).await, Ok(Ok(())))
 }
 
-/// Takes a socket that the process has bound already.
+/// Converts a bound socket into an asynchronous listener.
 pub(crate) fn listener(bound: std::net::TcpListener) -> std::io::Result<TcpListener> {
     bound.set_nonblocking(true)?;
     TcpListener::from_std(bound)
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! `fireflyhoistd`: the I/O around the decisions of `fireflyhoist-policy`.
+//! The entry daemon `fireflyhoistd`: performs the I/O that `fireflyhoist-policy` decides on.
 //!
-//! Modules are grouped by life span: what lives for a request, a connection, a version, a process.
-//! `docs/DESIGN.md` gives the reasons, `docs/OPERATIONS.md` what operators see.
+//! Modules are grouped by the lifetime of what they manage: a request, a connection, a version of
+//! the configuration text, or the process.
 
 pub(crate) mod connection;
 pub(crate) mod process;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `fireflyhoistd`: one entry host's daemon.
+//! `fireflyhoistd`, the daemon of one entry host.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -6,10 +6,10 @@
 use bpaf::{Args, Bpaf, ParseFailure};
 use fireflyhoist_daemon::{Daemon, Settings};
 
-/// Exit code of a wrong command line or settings file.
+/// Exit code for an invalid command line or settings file.
 const USAGE: u8 = 2;
 
-/// The widest help text in columns.
+/// The maximum width of the help text in columns.
 const HELP_WIDTH: usize = 100;
 
 /// Serves callers on this host until SIGTERM.
@@ -47,7 +47,7 @@
     }
 }
 
-/// Prints help, version, completions or what is wrong with the command line.
+/// Prints the help, the version, completions or the command line error, and returns the exit code.
 fn print_failure(failure: &ParseFailure) -> ExitCode {
     failure.print_message(HELP_WIDTH);
     match failure {
--- a/crates/daemon/src/process/burn.rs
+++ b/crates/daemon/src/process/burn.rs
@@ -1,6 +1,6 @@
-//! Records what callers received, by service, for the report on service-level burn.
+//! Records what callers received, by service, for the report on service-level burn rates.
 //!
-//! Each service's history is a shard under a lock of its own, held for a few additions.
+//! Each service's history has its own lock, which is held for a few additions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::process::clock::Clock;
 use crate::process::metrics::Metrics;
 
-/// Histories of every service that was asked for since the process began.
+/// The burn histories of all services that received requests since the process started.
 #[derive(Debug)]
 pub(crate) struct Recorder {
     clock: Clock,
@@ -26,12 +26,12 @@
         Self { clock, metrics, services: RwLock::default() }
     }
 
-    /// The metrics that the same counts feed.
+    /// Returns the metrics that the same counts feed.
     pub(crate) fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Begins the watch of a request that just arrived.
+    /// Starts to observe a request that just arrived.
     pub(crate) fn watch(self: &Arc<Self>, service: &Service) -> Watch {
         let progress = Progress::new(service.objective.burn(), self.clock.now());
         Watch {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in counts of one service.
+    /// Adds counts to one service's history and metrics.
     pub(crate) fn record(&self, service: &id::Service, tally: Tally) {
         self.metrics.tally(service, &tally);
         let history = self.services.read().get(service).cloned();
@@ -52,12 +52,12 @@
         history.lock().record(self.clock.now(), tally);
     }
 
-    /// Forgets services that the text no longer declares.
+    /// Drops the histories of services for which `declared` returns false.
     pub(crate) fn retain(&self, declared: impl Fn(&id::Service) -> bool) {
         self.services.write().retain(|service, _| declared(service));
     }
 
-    /// The readings of one service; all zero where nothing was asked of it yet.
+    /// Returns the readings of one service; all zero if it received no requests yet.
     pub(crate) fn readings(&self, service: &id::Service, objective: &Objective) -> Vec<Reading> {
         let history = self.services.read().get(service).cloned();
         let now = self.clock.now();
@@ -68,7 +68,7 @@
     }
 }
 
-/// Watches one request and records it when dropped, however it ends.
+/// Observes one request and records its counts when dropped, however the request ends.
 #[derive(Debug)]
 pub(crate) struct Watch {
     recorder: Arc<Recorder>,
@@ -76,11 +76,12 @@
     progress: Option<Progress>,
 }
 
-/// Counts are handed over after so many tokens, so that an answer of an hour shows before its end.
+/// Tokens after which counts are recorded, so that an answer that takes an hour shows before its
+/// end.
 const TOKENS_PER_RECORD: u64 = 256;
 
 impl Watch {
-    /// Notes that the token at `offset` arrived.
+    /// Records that the token at `offset` arrived.
     pub(crate) fn token(&mut self, offset: u64) {
         let now = self.recorder.clock.now();
         let Some(progress) = &mut self.progress else { return };
@@ -93,13 +94,13 @@
         }
     }
 
-    /// The request was refused.
+    /// Records that the request was refused, in place of its progress.
     pub(crate) fn refused(mut self) {
         self.progress = None;
         self.recorder.record(&self.service, Tally::refused());
     }
 
-    /// The response of a plain call begins.
+    /// Records that the response of a plain call begins.
     pub(crate) fn answered(mut self) {
         if let Some(progress) = self.progress.take() {
             let now = self.recorder.clock.now();
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Notes that the engine preempted the generation.
+    /// Records that the engine preempted the generation.
     pub(crate) fn preempted(&mut self) {
         if let Some(progress) = &mut self.progress {
             progress.record_preemption();
--- a/crates/daemon/src/process/fleet.rs
+++ b/crates/daemon/src/process/fleet.rs
@@ -1,4 +1,4 @@
-//! Carries out what membership and versions decide: links, texts, and what requests may rely on.
+//! Executes what membership and versions decide: sends frames, closes links and applies texts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,16 +10,16 @@
 use crate::process::Process;
 use crate::process::member::Effect;
 
-/// How often decisions are polled; a tenth of a heartbeat.
+/// How often membership is polled; a tenth of the heartbeat interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often the addresses of the settings are tried while nobody was heard.
+/// How often the configured peer addresses are dialed until some member sent a message.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Events that wait for the process; links hold back what they read beyond that.
+/// The capacity of the event queue; when it is full, links stop reading.
 pub(crate) const MAX_PENDING_EVENTS: usize = 1_024;
 
-/// Runs this process's part in the fleet until it stops.
+/// Handles link events and polls membership until the process stops.
 pub(crate) async fn run(
     process: Arc<Process>,
     links: Arc<Links>,
@@ -29,7 +29,8 @@
     poll.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while !process.is_stopped() {
         let effects = tokio::select! {
-            // The poll goes first: after a pause it must disown what the links had buffered.
+            // The poll goes first: after a pause of the process it must reset the links, which
+            // discards the frames that they had buffered.
             biased;
             _ = poll.tick() => process.control.poll(process.clock.now()),
             Some(event) = events.recv() => handle_event(&process, &links, event),
@@ -72,7 +73,7 @@
     }
 }
 
-/// Asks at the addresses of the settings until some member was heard.
+/// Dials the configured peer addresses while no member has sent a message yet.
 pub(crate) async fn discover(process: Arc<Process>, links: Arc<Links>, own: SocketAddr) {
     while !process.is_stopped() {
         if process.control.needs_discovery() {
--- a/crates/daemon/src/process/limits.rs
+++ b/crates/daemon/src/process/limits.rs
@@ -1,4 +1,4 @@
-//! What workspaces may use through this entry, by the limits of the text.
+//! Enforces this entry's share of the workspace limits that the text sets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 
 use crate::process::clock::Clock;
 
-/// Shards, each under its own lock; more than the threads that serve on a small host.
+/// The number of shards, each with its own lock; more than the worker threads of a small host.
 const SHARDS: usize = 16;
 
-/// The limits that this entry enforces, in shards by workspace.
+/// The workspace limits that this entry enforces, sharded by workspace.
 #[derive(Debug)]
 pub(crate) struct Limits {
     clock: Clock,
@@ -29,10 +29,10 @@
         Arc::new(Self { clock, shards: Default::default() })
     }
 
-    /// Takes in a text and a host list; this entry's parts follow by bounded steps.
+    /// Applies a text and a host list; this entry's shares move to the new values in bounded steps.
     ///
-    /// An entry that is not listed yet counts itself in: with the platform down there may be no
-    /// list at all, and answering above a limit costs less than answering nobody.
+    /// An entry that is not listed yet counts itself as live: while the platform is down there may
+    /// be no list at all, and exceeding a limit costs less than refusing every request.
     pub(crate) fn set(&self, text: &Text, hosts: &Hosts, own: &id::Host) {
         let live = hosts.hosts.iter().filter(|h| h.entry.is_some() && h.state == State::Live);
         let mut published: Vec<id::Host> = live.map(|host| host.name.clone()).collect();
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Opens a stream for a workspace, or refuses it before it has touched any target.
+    /// Admits a stream of a workspace, or refuses it before it reaches any target.
     pub(crate) fn admit(self: &Arc<Self>, workspace: &id::Workspace) -> Result<Permit, Refusal> {
         let admitted = self.shard(workspace).lock().admit(self.clock.now(), workspace);
         let refused =
@@ -72,7 +72,7 @@
     (limit != Limit::default()).then_some(limit)
 }
 
-/// One open stream of a workspace; dropped, it frees its place.
+/// A permit for one open stream of a workspace; dropping it releases the stream.
 #[derive(Debug)]
 pub(crate) struct Permit {
     limits: Arc<Limits>,
@@ -81,8 +81,10 @@
 }
 
 impl Permit {
-    /// Notes that the stream has drawn `total` tokens so far; a smaller total, of a fresh
-    /// generation, draws nothing until it has caught up.
+    /// Charges the workspace for the tokens that raise the stream's total to `total`.
+    ///
+    /// A smaller total, of a new generation after a restart, charges nothing until it exceeds the
+    /// total charged before.
     pub(crate) fn spend(&mut self, total: u64) {
         let new = total.saturating_sub(self.spent);
         self.spent += new;
--- a/crates/daemon/src/process/log.rs
+++ b/crates/daemon/src/process/log.rs
@@ -1,12 +1,12 @@
-//! The log: one line of key=value pairs for each event, on standard error.
+//! The log: one line of key=value pairs per event, on standard error.
 
 use logforth::filter::rustlog::RustLogFilterBuilder;
 use logforth::layout::LogfmtLayout;
 
-/// Our own events, and of the libraries only what is wrong; `RUST_LOG` changes it.
+/// Events of this crate from `info` and of all others from `warn`; `RUST_LOG` overrides it.
 const DEFAULT_FILTER: &str = "warn,fireflyhoist_daemon=info";
 
-/// Starts the log of this process; a second call changes nothing.
+/// Starts the log of this process; further calls have no effect.
 pub fn start() {
     let filter = RustLogFilterBuilder::from_default_env_or(DEFAULT_FILTER).build();
     let started =
--- a/crates/daemon/src/process/member.rs
+++ b/crates/daemon/src/process/member.rs
@@ -1,7 +1,7 @@
-//! This process's part in the fleet: membership, versions and what is said to peers about both.
+//! Membership and versions of this process, and the frames exchanged with peers about both.
 //!
-//! One lock holds it all: peers speak about ten times a second, and requests read it only where they
-//! request for entries.
+//! One lock guards all of it: peers send about ten frames a second, and requests read it only for
+//! lists of entries and members, readiness and status.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -20,20 +20,20 @@
 
 use crate::process::settings::Settings;
 
-/// What is to be done after the lock is released.
+/// An effect to execute after the lock is released.
 #[derive(Debug)]
 pub(crate) enum Effect {
-    /// Say this to a host.
+    /// Send a frame to a host.
     Send { to: id::Host, address: SocketAddr, frame: Frame },
-    /// Close the link to a host.
+    /// Close the link to a host; the next frame opens a new one.
     CloseLink(id::Host),
-    /// Close every link: this process slept.
+    /// Close every link, because this process was suspended.
     CloseAllLinks,
-    /// A whole text arrived from a peer.
+    /// Apply a complete text received from a peer.
     TextReceived { version: Version, source: String },
 }
 
-/// Membership and versions under their lock.
+/// Membership and versions behind one lock.
 #[derive(Debug)]
 pub(crate) struct Control {
     state: Mutex<Shared>,
@@ -49,12 +49,12 @@
     draining: bool,
 }
 
-/// What the request path reads, refreshed whenever it may have changed.
+/// The state that the request path depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct View {
     pub(crate) standing: Standing,
     pub(crate) leaving: bool,
-    /// Changes whenever some host's leaving may have changed.
+    /// A counter that changes when a host starts or stops leaving.
     pub(crate) departures: u64,
 }
 
@@ -79,7 +79,7 @@
         Self { state: Mutex::new(shared) }
     }
 
-    /// Does what time demands.
+    /// Advances membership to `now` and returns the effects that are due.
     pub(crate) fn poll(&self, now: Time) -> Vec<Effect> {
         let mut state = self.state.lock();
         let actions = state.membership.poll(now, &mut rand::rng());
@@ -89,7 +89,7 @@
         state.effects(actions)
     }
 
-    /// Takes in a frame from a host that proved the key.
+    /// Handles a frame from an authenticated host.
     pub(crate) fn receive(&self, now: Time, from: &id::Host, frame: Frame) -> Vec<Effect> {
         let mut state = self.state.lock();
         match frame {
@@ -98,30 +98,30 @@
                 let next = state.transfer.take(now, from, message);
                 state.handle_transfer(from, next)
             }
-            // Only the first frames of a link may be these.
+            // The handshake handles these; they are ignored later on a link.
             Frame::Challenge(_) | Frame::Hello { .. } | Frame::Welcome { .. } => Vec::new(),
         }
     }
 
-    /// Says who this is to a host found at an address of the settings.
+    /// Introduces this process to a host that answered at a configured address.
     pub(crate) fn greet(&self, to: id::Host, address: SocketAddr) -> Effect {
         let message = self.state.lock().membership.greeting();
         Effect::Send { to, address, frame: Frame::Member(message) }
     }
 
-    /// A host cannot be reached.
+    /// Records that a host cannot be reached.
     pub(crate) fn unreachable(&self, now: Time, host: &id::Host) {
         self.state.lock().membership.unreachable(now, host);
     }
 
-    /// Takes in the platform's host list.
+    /// Applies the platform's host list.
     pub(crate) fn apply_host_list(&self, now: Time, hosts: &Hosts) {
         let mut state = self.state.lock();
         state.has_host_list = true;
         state.membership.apply_list(now, &host_list(hosts));
     }
 
-    /// Whether a list as old as this one is behind what is known.
+    /// Returns whether `hosts` is older than the newest list that membership knows of.
     pub(crate) fn is_stale(&self, hosts: &Hosts) -> bool {
         hosts.sequence < self.state.lock().membership.sequence()
     }
@@ -131,7 +131,7 @@
         self.state.lock().readiness.set_platform(contact);
     }
 
-    /// Decides about a text that was found valid, or not.
+    /// Decides whether to adopt a text; `validity` is the reason if it is invalid.
     pub(crate) fn offer(
         &self,
         version: Version,
@@ -148,20 +148,20 @@
         verdict
     }
 
-    /// The version in force, and the two texts last seen under one revision.
+    /// Returns the version in force, and the lower and higher version last seen with one revision.
     pub(crate) fn versions(&self) -> (Option<Version>, Option<(Version, Version)>) {
         let state = self.state.lock();
         (state.tracker.in_force(), state.tracker.conflict())
     }
 
-    /// Takes no new work from now on and says so to the peers.
+    /// Stops accepting new work and announces it to the peers.
     pub(crate) fn leave(&self, now: Time) {
         let mut state = self.state.lock();
         state.draining = true;
         state.membership.leave(now);
     }
 
-    /// What the request path should go by; tells the peers too where it changed.
+    /// Returns the state for the request path and announces a change of readiness to the peers.
     pub(crate) fn view(&self, now: Time) -> View {
         let mut state = self.state.lock();
         let standing = state.standing(now);
@@ -171,7 +171,7 @@
         View { standing, leaving, departures: state.membership.departures() }
     }
 
-    /// Members that may be handed to callers; none while this process distrusts what it knows.
+    /// Returns the members to list for callers; none while this process does not trust its state.
     pub(crate) fn usable(&self) -> Vec<Record> {
         let state = self.state.lock();
         match state.membership.is_trusted() {
@@ -180,29 +180,29 @@
         }
     }
 
-    /// Everybody known, the dead included.
+    /// Returns all known members, including dead ones.
     pub(crate) fn members(&self) -> Vec<Record> {
         self.state.lock().membership.records().cloned().collect()
     }
 
-    /// Whether a host of an entry or a target is leaving by any source.
+    /// Returns whether the host of an entry or a target is leaving by any source.
     pub(crate) fn is_leaving(&self, host: &id::Host) -> bool {
         self.state.lock().membership.is_leaving(host)
     }
 
-    /// Whether no other member was heard yet.
+    /// Returns whether no message from another member was received yet.
     pub(crate) fn needs_discovery(&self) -> bool {
         !self.state.lock().membership.has_received()
     }
 
-    /// Whether this process is one that watches the platform.
+    /// Returns whether this process is among the watchers of the platform in its failure domain.
     pub(crate) fn is_watcher(&self) -> bool {
         let state = self.state.lock();
         let own = state.membership.own();
         is_watcher(&own.host, &own.domain, &state.membership.domain_members(&own.domain))
     }
 
-    /// How long a process that does not watch waits between polls.
+    /// Returns how long a process that is no watcher waits between polls of the platform.
     pub(crate) fn poll_interval(&self) -> Duration {
         poll_interval(self.state.lock().membership.size(), &mut rand::rng())
     }
@@ -210,7 +210,8 @@
 
 impl Shared {
     fn standing(&mut self, now: Time) -> Standing {
-        // Nobody to request, or no_peers who can be reached, is known at once; silence takes its time.
+        // With no other member listed or none reachable, the peers count as silent at once, without
+        // waiting for a timeout.
         let no_peers = self.has_host_list && !self.membership.knows_others();
         let contact = match no_peers || self.membership.is_isolated() {
             true => Contact::Silent,
--- a/crates/daemon/src/process/metrics.rs
+++ b/crates/daemon/src/process/metrics.rs
@@ -1,8 +1,7 @@
-//! Metrics by opentelemetry, read over HTTP in Prometheus' text format.
+//! OpenTelemetry metrics, served over HTTP in the Prometheus text format.
 //!
-//! Counters are written as things happen; gauges when somebody reads. The names stand in
-//! `docs/OPERATIONS.md`. Labels are services and measures only, never workspaces or callers, so
-//! that the page stays small at any number of either.
+//! Counters are updated with each event, gauges with each scrape. Labels are services and measures
+//! only, never workspaces or callers, so that the size of a scrape does not grow with their number.
 
 use std::time::Duration;
 
@@ -13,7 +12,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// Bounds of the first-token histogram in seconds, close together around the objective of 0.34 s.
+/// Bucket bounds of the first-token histogram in seconds, dense around the objective of 0.34 s.
 const FIRST_TOKEN_BOUNDS: [f64; 11] =
     [0.01, 0.025, 0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.5, 10.0, 60.0];
 
@@ -21,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Kept because instruments end with their provider.
+    /// Kept alive because instruments stop working when their provider is dropped.
     _provider: SdkMeterProvider,
     total: Counter<u64>,
     bad: Counter<u64>,
@@ -33,18 +32,18 @@
     hosts: Gauge<u64>,
 }
 
-/// What the gauges show at the moment of reading.
+/// The values of the gauges at the time of a scrape.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Levels {
-    /// Requests in progress.
+    /// The number of requests in flight.
     pub(crate) open: usize,
-    /// The revision in force; 0 before the first.
+    /// The revision of the version in force; 0 before the first.
     pub(crate) revision: u64,
-    /// Whether this host takes no new work.
+    /// Whether this host accepts no new work.
     pub(crate) leaving: bool,
     /// Whether the text read last was refused.
     pub(crate) refused: bool,
-    /// Live entry hosts of the list.
+    /// The number of entry hosts that the host list names as live.
     pub(crate) hosts: usize,
 }
 
@@ -104,7 +103,7 @@
         self.first_token.record(elapsed.as_secs_f64(), &labels);
     }
 
-    /// All metrics in the text format.
+    /// Records the gauges and renders all metrics in the text format.
     pub(crate) fn page(&self, levels: Levels) -> String {
         self.open.record(levels.open as u64, &[]);
         self.revision.record(levels.revision, &[]);
@@ -115,7 +114,7 @@
     }
 }
 
-/// A measure's name as Prometheus users write labels.
+/// Returns a measure's label value.
 fn label(measure: Measure) -> &'static str {
     match measure {
         Measure::Stall => "stall_microseconds",
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process: settings, log, lanes, the server and its drain.
+//! State with the lifetime of the process: settings, log, lanes, and the server with its drain.
 
 pub(crate) mod burn;
 pub(crate) mod clock;
@@ -45,36 +45,36 @@
 use crate::version::{Snapshot, watch};
 use fireflyhoist_gateway::Lane;
 
-/// How often a drain looks whether requests are still in progress.
+/// How often a drain checks whether requests are still in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// How long a drain goes on answering so that its goodbye is out before it stops: two polls of the
-/// membership and the way to each neighbour.
+/// How long a drain keeps serving so that peers receive the leave announcement before it stops:
+/// two membership polls plus the network delay to each peer.
 const LEAVE_NOTICE: Duration = Duration::from_millis(300);
 
-/// How often lanes look for deadlines that passed; a tenth of the shortest objective in use.
+/// How often lanes are polled for expired deadlines; a tenth of the shortest objective in use.
 const LANE_POLL: Duration = Duration::from_millis(10);
 
-/// Why a daemon does not start.
+/// The reason why a daemon fails to start.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     #[display("cannot listen on {address} ({reason}); set `listen` to a free address of this host")]
     Listen {
-        /// The address from the settings.
+        /// The configured address.
         address: SocketAddr,
-        /// The operating system's words.
+        /// The operating system's error.
         reason: io::Error,
     },
-    /// The HTTP client cannot be built.
+    /// Building the HTTP client failed.
     #[display("the HTTP client does not start; report this with the log")]
     Client,
-    /// The metrics cannot be set up.
+    /// Setting up the metrics failed.
     #[display("the metrics do not start; report this with the log")]
     Metrics,
 }
 
-/// What the workers of one daemon share.
+/// The state that all workers of one daemon share.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) settings: Settings,
@@ -119,42 +119,42 @@
         })
     }
 
-    /// The version in force, if any is known yet.
+    /// Returns the version in force, or `None` before the first.
     pub(crate) fn snapshot(&self) -> Option<Arc<Snapshot>> {
         self.snapshot.read().clone()
     }
 
-    /// The version in force, once this process may serve by it.
+    /// Returns the version in force, or `None` until this process is ready to serve.
     pub(crate) fn serving(&self) -> Option<Arc<Snapshot>> {
         self.snapshot().filter(|_| self.ready.load(Ordering::Acquire))
     }
 
-    /// What this process still waits for before it may serve.
+    /// Returns what this process still waits for before it is ready to serve.
     pub(crate) fn standing(&self) -> Standing {
         self.control.view(self.clock.now()).standing
     }
 
-    /// Whether the process has ended its work.
+    /// Returns whether the drain is complete, so that background tasks stop.
     pub(crate) fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Acquire)
     }
 
-    /// The host list as last read.
+    /// Returns the host list that was applied last.
     pub(crate) fn hosts(&self) -> Arc<Hosts> {
         Arc::clone(&self.hosts.read())
     }
 
-    /// The lane of a service of the version in force.
+    /// Returns the lane of a service that the version in force declares.
     pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<Lane>> {
         self.lanes.read().get(service).cloned()
     }
 
-    /// Where answers and refusals are counted for the report on service-level burn.
+    /// Returns the recorder that counts answers and refusals for the burn rate report.
     pub(crate) fn burn(&self) -> &Arc<Recorder> {
         &self.burn
     }
 
-    /// Takes in a text as the platform serves it; whether it told anything new.
+    /// Applies a text that the platform published. Returns whether it changed anything.
     pub(crate) fn apply_published_text(&self, body: &[u8]) -> bool {
         let parsed = Text::parse_bytes(body);
         match (parsed, std::str::from_utf8(body)) {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Takes in a text that a peer has in force.
+    /// Applies a text that a peer has in force, fetched as `version`.
     pub(crate) fn apply_peer_text(&self, version: Version, source: &str) {
         match Text::parse(source) {
             Ok(text) if text.revision == version.revision() => {
@@ -215,11 +215,11 @@
         }
     }
 
-    /// Puts a version in force that is newer than the one before.
+    /// Puts a version in force unless a newer one is in force already.
     fn adopt(&self, next: Snapshot) {
         {
             let mut current = self.snapshot.write();
-            // Two offers were decided in one order and may get here in the other.
+            // Two threads may reach this point in another order than their offers were decided.
             if current.as_ref().is_some_and(|now| now.version >= next.version) {
                 return;
             }
@@ -230,12 +230,12 @@
         self.refresh_lanes();
     }
 
-    /// Notes that the text read last was refused; the one in force stays.
+    /// Records why the text read last was refused; the version in force stays.
     ///
-    /// Returns whether that is changed.
+    /// Returns whether the reason differs from the one recorded before.
     pub(crate) fn refuse_text(&self, reason: String) -> bool {
         let mut refused = self.refused.write();
-        // The platform is read again and again; one line a refused text is enough.
+        // The platform is read repeatedly, so each refused text is logged only once.
         let changed = refused.as_ref() != Some(&reason);
         if changed {
             ::log::warn!(reason:% = reason; "text refused");
@@ -244,17 +244,17 @@
         changed
     }
 
-    /// Why the text read last was refused, if it was.
+    /// Returns why the text read last was refused, or `None` if it was accepted.
     pub(crate) fn refused(&self) -> Option<String> {
         self.refused.read().clone()
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in flight.
     pub(crate) fn open_requests(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Takes in a host list, unless a newer one was seen; whether it told anything new.
+    /// Applies a host list unless a newer one was seen. Returns whether it changed anything.
     pub(crate) fn set_hosts(&self, hosts: Hosts) -> bool {
         self.control.apply_host_list(self.clock.now(), &hosts);
         if self.control.is_stale(&hosts) || *self.hosts() == hosts {
@@ -277,7 +277,7 @@
         true
     }
 
-    /// Brings what requests rely on up to date with what membership and versions say.
+    /// Updates the flags and lanes that requests read from the state of membership and versions.
     pub(crate) fn refresh(&self) {
         let view = self.control.view(self.clock.now());
         let ready = view.standing == Standing::Ready;
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Gives every lane the targets that may receive new work.
+    /// Updates limits, and every lane's weights, entries and targets that may receive new work.
     fn refresh_lanes(&self) {
         let Some(snapshot) = self.snapshot() else { return };
         let hosts = self.hosts();
@@ -327,19 +327,19 @@
         lanes.iter().for_each(|lane| lane.poll());
     }
 
-    /// Whether this host takes no new work.
+    /// Returns whether this host accepts no new work.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Counts a request in progress until the guard is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub(crate) fn track_request(self: &Arc<Self>) -> InFlight {
         self.open.fetch_add(1, Ordering::AcqRel);
         InFlight(Arc::clone(self))
     }
 }
 
-/// One request in progress; a drain waits for all of them.
+/// A guard that counts one request as in flight; a drain waits until none is left.
 #[derive(Debug)]
 pub(crate) struct InFlight(Arc<Process>);
 
@@ -349,7 +349,7 @@
     }
 }
 
-/// What one worker thread owns.
+/// The shared state and the HTTP client of one worker thread.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub(crate) process: Arc<Process>,
@@ -367,7 +367,7 @@
 }
 
 impl Daemon {
-    /// Listens, reads the platform in the background and serves.
+    /// Binds the listeners and starts the server and the background tasks.
     ///
     /// Must be called within an ntex system, such as under `#[ntex::main]`.
     pub async fn bind(settings: Settings) -> Result<Self, StartError> {
@@ -397,17 +397,17 @@
         Ok(Self { process, http, peer, server, peers })
     }
 
-    /// Where callers connect.
+    /// Returns the address that callers connect to.
     pub fn http_address(&self) -> SocketAddr {
         self.http
     }
 
-    /// Where other daemons connect.
+    /// Returns the address that other daemons connect to.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Stops listening to peers, so that a replacement may take the address at once.
+    /// Stops listening for peers, so that a replacement process can bind the address at once.
     async fn release_peer_address(&mut self) {
         let (confirm, confirmed) = oneshot::channel();
         let (idle, _) = oneshot::channel();
@@ -430,15 +430,15 @@
         self.drain().await;
     }
 
-    /// Stops at once, as a crash would: requests in progress are cut.
+    /// Stops at once, as a crash would: requests in flight are cut off.
     pub async fn kill(self) {
         self.server.stop(false).await;
     }
 
-    /// Takes no new work, finishes every request in progress, then stops.
+    /// Accepts no new work, finishes every request in flight, then stops.
     ///
-    /// The server's own graceful stop cut a streaming response after 0.1 s in a trial, so it runs
-    /// only once nothing is in progress.
+    /// The server's own graceful stop can cut a streaming response after 0.1 s, so it runs only
+    /// once nothing is in flight.
     pub async fn drain(mut self) {
         let process = &self.process;
         process.leaving.store(true, Ordering::Release);
@@ -455,7 +455,9 @@
     }
 }
 
-/// Begins to listen to peers and to speak with them.
+/// Starts to accept links from peers and to exchange frames with them.
+///
+/// Sending on the returned channel stops the listener, which then confirms on the sender received.
 fn start_peering(
     process: &Arc<Process>,
     listener: TcpListener,
--- a/crates/daemon/src/process/reconcile.rs
+++ b/crates/daemon/src/process/reconcile.rs
@@ -1,7 +1,7 @@
-//! Orders the engines that this host is the steward of, in the background.
+//! Reconciles the engines that this host owns with the version in force, in the background.
 //!
-//! Nothing here is on the way of a request: an engine that cannot be ordered goes on serving what
-//! it holds. See `docs/DESIGN.md`, section "Orders to engines".
+//! Requests do not depend on this: an engine that cannot be ordered keeps serving the model that it
+//! has loaded.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,14 +23,14 @@
 use crate::process::Worker;
 use crate::version::{Snapshot, desired};
 
-/// How often a steward reads its engines while one of them is not as it should be.
+/// The interval between rounds while an engine differs from its desired setup.
 const BUSY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often it reads them otherwise: a new version must be in force within 11 s, and 2.5 engines
-/// a host at the size to design for cost a quarter of a kilobyte a second.
+/// The interval between rounds otherwise: a new version must be in force within 11 s, and reading
+/// the 2.5 engines per host of the design size costs a quarter of a kilobyte a second.
 const IDLE_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Runs until the process ends.
+/// Runs reconciliation rounds until the process ends.
 pub(crate) async fn run(worker: Worker) {
     let mut reconciler = Reconciler::default();
     loop {
@@ -39,26 +39,28 @@
     }
 }
 
-/// What a steward remembers between rounds; losing it costs nothing but a repeated log line and a
-/// load that may begin early.
+/// The state kept between rounds; losing it only repeats a log line or starts a load too early.
 #[derive(Debug, Default)]
 struct Reconciler {
     pacer: Pacer,
     reported: HashMap<id::Target, SmolStr>,
 }
 
-/// One version's engines, as one round sees them.
+/// The inputs of one reconciliation round.
 struct Round<'a> {
     worker: &'a Worker,
     snapshot: Arc<Snapshot>,
     epoch: Epoch,
     engines: Vec<Engine>,
-    /// This host's part of the weight store's rate, in bytes a second.
+    /// This host's share of the weight store's rate, in bytes per second.
     rate: f64,
 }
 
 impl Reconciler {
-    /// Reads this host's engines and orders what is due; says whether anything is left to do.
+    /// Reads the engines that this host owns and sends the orders that are due.
+    ///
+    /// Returns whether to run the next round after [`BUSY_INTERVAL`]: an engine is loading,
+    /// unreadable or not yet in its desired setup, or nothing can be served yet.
     async fn round(&mut self, worker: &Worker) -> bool {
         let Some(snapshot) = worker.process.serving() else { return true };
         let (revision, digest) = (snapshot.version.revision(), snapshot.version.digest());
@@ -87,7 +89,9 @@
         busy
     }
 
-    /// Does what one engine needs; says whether it is not yet as it should be.
+    /// Sends one engine the order that it needs, if any.
+    ///
+    /// Returns whether the next round should follow after [`BUSY_INTERVAL`].
     async fn reconcile(
         &mut self,
         round: &Round<'_>,
@@ -114,7 +118,7 @@
 
     async fn load(&mut self, round: &Round<'_>, engine: &Engine, order: &Order) {
         if engine.fencing == Fencing::Ignored {
-            // Without promises, an entry that paused could undo a newer version's order.
+            // Without fencing, an entry that was suspended could undo a newer version's order.
             return self.report(engine, "engines that ignore fencing numbers get no orders yet");
         }
         let now = round.worker.process.clock.now();
@@ -131,7 +135,7 @@
         self.reported.remove(&engine.target);
     }
 
-    /// Logs what keeps an engine from being ordered, once for each cause.
+    /// Logs why an engine gets no order, unless the same cause was logged last.
     fn report(&mut self, engine: &Engine, cause: &str) {
         if self.reported.get(&engine.target).is_none_or(|known| known != cause) {
             ::log::warn!(target_name:% = engine.target, cause:% = cause; "engine not ordered");
@@ -149,7 +153,9 @@
         .await
     }
 
-    /// Whether the service can do without this engine now; reads all of its engines to know.
+    /// Returns whether the service has enough other engines that this one may load now.
+    ///
+    /// Reads the status of all engines of the service.
     async fn may_load(&self, engine: &Engine) -> bool {
         let peers = self.engines.iter().filter(|peer| peer.service == engine.service);
         let peers: Vec<Engine> = peers.cloned().collect();
@@ -177,7 +183,7 @@
     }
 }
 
-/// The entries among which stewards are chosen.
+/// Returns the live entry hosts, among which the owner of each engine is chosen.
 fn candidates(worker: &Worker) -> Vec<id::Host> {
     let hosts = worker.process.hosts();
     let usable = |host: &&Host| host.entry.is_some() && host.state == State::Live;
--- a/crates/daemon/src/process/settings.rs
+++ b/crates/daemon/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon, read once at its start.
+//! The settings of one daemon, read once at startup.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,50 +9,51 @@
 use serde::{Deserialize, Serialize};
 use smol_str::{SmolStr, ToSmolStr};
 
-/// Why settings are refused.
+/// The reason why settings are refused.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[display("cannot be read ({reason}); check the path and its permissions")]
     Read {
-        /// The operating system's words.
+        /// The operating system's error.
         reason: String,
     },
-    /// The file does not parse or fields are wrong.
+    /// The file does not parse, or fields are invalid.
     #[display("{faults}")]
     Faulty {
-        /// What is wrong, where, and the remedy of each.
+        /// Each fault with its line and remedy.
         faults: Faults,
     },
 }
 
-/// The largest settings file in bytes; a larger one is some other file.
+/// The maximum size of a settings file in bytes; a larger file is not a settings file.
 const MAX_SETTINGS: usize = 64 << 10;
 
-/// More threads than any host has cores.
+/// The maximum number of workers; more than any host has cores.
 const MAX_WORKERS: usize = 1_024;
 
-/// What a daemon must be told before it can ask anybody.
+/// The settings that a daemon needs before it can reach the platform or its peers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The host it runs on, as the platform's host list names it.
+    /// The host that the daemon runs on, as named in the platform's host list.
     pub host: id::Host,
     /// The failure domain of that host.
     pub domain: id::Domain,
-    /// Where it serves callers: an IP number and a port; port 0 lets the system choose.
+    /// The address that callers connect to: an IP number and a port; with port 0 the operating
+    /// system chooses the port.
     pub listen: SocketAddr,
-    /// Where it serves other daemons.
+    /// The address that other daemons connect to.
     pub peer_listen: SocketAddr,
-    /// Where the platform answers.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// Where other daemons listen, asked where the platform is down at the start; any that answers
-    /// tells of the rest.
+    /// Addresses of other daemons, dialed until some member sent a message, so that a start works
+    /// while the platform is down; one that answers is enough to learn of the others.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The key that daemons prove to one another.
+    /// The secret key by which daemons authenticate to one another.
     pub peer_key: SmolStr,
-    /// Threads that serve callers; one for each core where absent.
+    /// The number of threads that serve callers; one per core if absent.
     #[serde(default = "workers")]
     pub workers: usize,
 }
@@ -69,7 +70,7 @@
         Self::parse(&source)
     }
 
-    /// Checks settings in TOML.
+    /// Parses and checks settings in TOML.
     pub fn parse(source: &[u8]) -> Result<Self, SettingsError> {
         Self::checked(source).map_err(|faults| SettingsError::Faulty { faults })
     }
@@ -86,7 +87,7 @@
         if faults.is_empty() { Ok(settings) } else { Err(Faults::new(faults)) }
     }
 
-    /// What the fields say that cannot be, each with the field's name.
+    /// Returns the invalid values, each with the name of its field.
     fn problems(&self) -> Vec<(&'static str, Problem)> {
         let mut problems = Vec::new();
         let platform = self.platform;
--- a/crates/daemon/src/process/tickets.rs
+++ b/crates/daemon/src/process/tickets.rs
@@ -1,4 +1,4 @@
-//! The tickets of this process and the store of those that were used.
+//! The tickets that this process issues, and the idempotency store of those that were used.
 
 use fireflyhoist_policy::id;
 use fireflyhoist_policy::idempotency::{Claim, MAX_ENTRIES, Outcome, Store};
@@ -8,14 +8,17 @@
 
 use crate::process::clock::Clock;
 
-/// A reply that is kept for repeats.
+/// A reply that is stored to answer repeated calls with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct StoredReply {
     pub(crate) content_type: Option<String>,
     pub(crate) body: Bytes,
 }
 
-/// What this process issued and what was used of it; gone with the process, as it must be.
+/// The ticket issuer and its idempotency store.
+///
+/// Both are lost with the process, and a restarted process has a new instance id, so it refuses
+/// tickets of the one before.
 #[derive(Debug)]
 pub(crate) struct Tickets {
     clock: Clock,
@@ -39,13 +42,15 @@
         }
     }
 
-    /// Whether this very process issued the ticket. A restart on the same address did not: it
-    /// has forgotten what ran, so it must not run anything either.
+    /// Returns whether this process issued the ticket.
+    ///
+    /// After a restart on the same address it did not: the store of what ran is lost, so a call
+    /// with an older ticket must not run again.
     pub(crate) fn issued(&self, ticket: &Ticket) -> bool {
         ticket.issuer == self.host && ticket.instance == self.instance
     }
 
-    /// Whether the ticket names this host, in whatever run of its daemon.
+    /// Returns whether this host issued the ticket, in this or an earlier process.
     pub(crate) fn names_this_host(&self, ticket: &Ticket) -> bool {
         ticket.issuer == self.host
     }
--- a/crates/daemon/src/version/desired.rs
+++ b/crates/daemon/src/version/desired.rs
@@ -1,4 +1,4 @@
-//! What the version in force wants of each engine.
+//! The desired setup of each engine by the version in force.
 
 use std::net::SocketAddr;
 
@@ -8,14 +8,14 @@
 use fireflyhoist_text::{Kind, Model, Service, Target, Text};
 use fireflyhoist_wire::platform::{Hosts, State};
 
-/// Bytes of a gibibyte.
+/// The number of bytes in a gibibyte.
 pub(crate) const GIB: u64 = 1 << 30;
 
-/// The engines that are to be ordered: those of services that name a model of the text, on hosts
-/// that are not listed as leaving.
+/// Returns the engines to order: those of services that name a model of the text, on hosts that are
+/// not listed as leaving.
 ///
-/// A host that is not listed at all may run its engine elsewhere than on this platform, so only
-/// "leaving" keeps an engine out, as it does for requests.
+/// An unlisted host may run its engine outside this platform, so only the state "leaving" excludes
+/// an engine, as it does for requests.
 pub(crate) fn engines(text: &Text, hosts: &Hosts) -> Vec<Engine> {
     let models = text.services.iter().filter(|service| service.kind == Kind::Model);
     let declared = models.flat_map(|service| {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Where a target of the text listens.
+/// Returns the address of an engine's target, or `None` if the text does not declare it.
 pub(crate) fn address(text: &Text, engine: &Engine) -> Option<SocketAddr> {
     let service = text.service(&engine.service)?;
     service.targets.iter().find(|target| target.name == engine.target).map(|t| t.address)
--- a/crates/daemon/src/version/mod.rs
+++ b/crates/daemon/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version of the text is in force.
+//! State with the lifetime of a version of the text.
 
 pub(crate) mod desired;
 mod host_targets;
@@ -7,7 +7,7 @@
 use fireflyhoist_text::{Text, Version};
 use fireflyhoist_wire::platform::Hosts;
 
-/// One accepted text.
+/// An accepted text and its version.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     pub(crate) version: Version,
@@ -15,7 +15,7 @@
 }
 
 impl Snapshot {
-    /// The same version with the targets that the host list names at the moment.
+    /// Returns the same version with the targets that `hosts` lists.
     pub(crate) fn with_listed_targets(self, hosts: &Hosts) -> Self {
         let services = self.text.services.into_iter();
         let services = services.map(|service| host_targets::resolve(service, hosts)).collect();
--- a/crates/daemon/src/version/watch.rs
+++ b/crates/daemon/src/version/watch.rs
@@ -1,4 +1,5 @@
-//! Asks the platform for the text and the host list: few processes watch, the others poll slowly.
+//! Reads the text and the host list from the platform: a few watchers long-poll, the other
+//! processes poll slowly.
 
 use std::time::Duration;
 
@@ -9,44 +10,44 @@
 
 use crate::process::Worker;
 
-/// How long one read may take before it counts as failed.
+/// The timeout of one read, in addition to its long-poll time.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a watch waits at the platform for a change; each counts as a call.
+/// How long a watcher's read waits at the platform for a change; each read counts as a call.
 const LONG_POLL: Duration = Duration::from_secs(25);
 
-/// How long to wait after a read that failed or told nothing new, twice as long each time.
+/// The initial backoff after a read that failed or changed nothing; it doubles each time.
 const BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest such wait: a platform that is back is noticed well within the 11 s that operators
+/// The maximum backoff; a recovered platform must be noticed well within the 11 s that operators
 /// are promised.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How often a process that does not watch looks whether it should.
+/// How often a process that is no watcher checks whether it has become one.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The largest value that the platform holds.
+/// The maximum size of a value at the platform, in bytes.
 const MAX_VALUE: usize = 1 << 20;
 
-/// What the platform publishes.
+/// A value that the platform publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Key {
     Text,
     Hosts,
 }
 
-/// What one read told.
+/// The result of one read.
 #[derive(Debug)]
 enum Answer {
-    /// Another value than before.
+    /// The value differs from the one read before.
     Changed { sequence: Option<u64>, body: Vec<u8> },
-    /// The same as before, or that nothing is published yet.
+    /// The value is the same as before, or nothing is published yet.
     Unchanged { sequence: Option<u64> },
-    /// Nothing: it cannot be reached or is broken.
+    /// The platform cannot be reached or its answer is invalid.
     Failed,
 }
 
-/// Reads one value until the process stops.
+/// Reads one value repeatedly until the process stops.
 pub(crate) async fn run(worker: Worker, key: Key) {
     let mut after = None;
     let mut backoff = BACKOFF;
@@ -69,14 +70,14 @@
                 false
             }
         };
-        // The failure: a stale platform differs from what the watch asks after and answers it at
-        // once, again and again. Whatever tells nothing new is contact ever more slowly.
+        // A stale platform has another sequence number than the one asked after, so it answers
+        // each long poll at once. Backing off whenever nothing changed prevents a busy loop.
         backoff = if changed { BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
         pause(&worker, watching, backoff).await;
     }
 }
 
-/// Waits between reads: briefly as a watcher, else for a share of the fleet's rate.
+/// Waits between reads: for the jittered backoff, and if not a watcher also for the poll interval.
 async fn pause(worker: &Worker, watching: bool, backoff: Duration) {
     let jitter = backoff.mul_f64(rand::random::<f64>());
     ntex::time::sleep(backoff / 2 + jitter).await;
@@ -97,7 +98,7 @@
     }
 }
 
-/// Hands a value on; whether it told anything new.
+/// Applies a value. Returns whether it changed anything.
 fn apply(worker: &Worker, key: Key, body: &[u8]) -> bool {
     match key {
         Key::Text => {
