--- a/crates/daemon/src/connection/peer.rs
+++ b/crates/daemon/src/connection/peer.rs
@@ -55,7 +55,7 @@
     credentials: Credentials,
     events: mpsc::Sender<Event>,
     open: Mutex<HashMap<id::Host, Link>>,
-    next: AtomicU64,
+    next_number: AtomicU64,
     era: AtomicU64,
 }
 
@@ -71,7 +71,7 @@
             credentials,
             events,
             open: Mutex::default(),
-            next: AtomicU64::new(0),
+            next_number: AtomicU64::new(0),
             era: AtomicU64::new(0),
         })
     }
@@ -154,9 +154,9 @@
             };
             let links = Arc::clone(self);
             ntex::rt::spawn(async move {
-                let proved = handshake::accept(&links.credentials, stream).await;
+                let result = handshake::accept(&links.credentials, stream).await;
                 drop(permit);
-                links.admit(proved, from).await;
+                links.admit(result, from).await;
             })
             .detach();
         }
@@ -164,10 +164,10 @@
 
     async fn admit(
         self: Arc<Self>,
-        proved: Result<(Socket, id::Host), LinkError>,
+        result: Result<(Socket, id::Host), LinkError>,
         from: SocketAddr,
     ) {
-        match proved {
+        match result {
             Ok((socket, host)) => {
                 let (link, frames) = self.new_link();
                 let number = link.number;
@@ -180,7 +180,7 @@
 
     fn new_link(&self) -> (Link, mpsc::Receiver<Vec<u8>>) {
         let (frames, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
-        (Link { number: self.next.fetch_add(1, Ordering::Relaxed), frames }, receiver)
+        (Link { number: self.next_number.fetch_add(1, Ordering::Relaxed), frames }, receiver)
     }
 
     async fn dial(
@@ -218,15 +218,15 @@
     ) {
         let era = self.era();
         let (mut sink, mut source) = socket.split();
-        let (mut read, mut used, mut pinged) = (Instant::now(), Instant::now(), false);
+        let (mut last_read, mut last_used, mut pinged) = (Instant::now(), Instant::now(), false);
         // After `frames` closed the link is still read: the other end may not know a newer link.
         let mut writable = true;
         while self.era() == era {
-            let deadline = read + if pinged { DEAD_AFTER } else { PING_AFTER };
+            let deadline = last_read + if pinged { DEAD_AFTER } else { PING_AFTER };
             tokio::select! {
                 frame = frames.recv(), if writable => match frame {
                     Some(bytes) => {
-                        used = Instant::now();
+                        last_used = Instant::now();
                         if !send_message(&mut sink, Message::binary(bytes)).await {
                             break;
                         }
@@ -236,19 +236,19 @@
                 },
                 message = source.next() => match message {
                     Some(Ok(Message::Binary(bytes))) => {
-                        (read, pinged, used) = (Instant::now(), false, Instant::now());
+                        (last_read, pinged, last_used) = (Instant::now(), false, Instant::now());
                         if !self.forward(era, &host, &bytes).await {
                             break;
                         }
                     }
                     Some(Ok(Message::Close(_)) | Err(_)) | None => break,
-                    Some(Ok(_)) => (read, pinged) = (Instant::now(), false),
+                    Some(Ok(_)) => (last_read, pinged) = (Instant::now(), false),
                 },
                 () = tokio::time::sleep_until(deadline) => {
                     // A middlebox may drop the state of the connection, so that nothing arrives on
                     // it any more although new connections work. A link without an answer to the
                     // ping is closed, and the next frame opens a new one.
-                    if pinged || used.elapsed() >= IDLE_TIMEOUT {
+                    if pinged || last_used.elapsed() >= IDLE_TIMEOUT {
                         break;
                     }
                     pinged = true;
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -92,7 +92,7 @@
     ready: AtomicBool,
     departures: AtomicU64,
     stopped: AtomicBool,
-    open: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
 impl Process {
@@ -115,7 +115,7 @@
             ready: AtomicBool::new(false),
             departures: AtomicU64::new(0),
             stopped: AtomicBool::new(false),
-            open: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
         })
     }
 
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Puts a version in force unless a newer one is in force already.
+    /// Puts a version in force unless the same or a newer one is in force already.
     fn adopt(&self, next: Snapshot) {
         {
             let mut current = self.snapshot.write();
@@ -244,14 +244,14 @@
         changed
     }
 
-    /// Returns why the text read last was refused, or `None` if it was accepted.
+    /// Returns why a text was refused, or `None` if none was refused since a version was adopted.
     pub(crate) fn refused(&self) -> Option<String> {
         self.refused.read().clone()
     }
 
     /// Returns the number of requests in flight.
     pub(crate) fn open_requests(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+        self.in_flight.load(Ordering::Acquire)
     }
 
     /// Applies a host list unless a newer one was seen. Returns whether it changed anything.
@@ -334,7 +334,7 @@
 
     /// Counts a request as in flight until the returned guard is dropped.
     pub(crate) fn track_request(self: &Arc<Self>) -> InFlight {
-        self.open.fetch_add(1, Ordering::AcqRel);
+        self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlight(Arc::clone(self))
     }
 }
@@ -345,7 +345,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::AcqRel);
+        self.0.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
@@ -363,7 +363,7 @@
     http: SocketAddr,
     peer: SocketAddr,
     server: Server,
-    peers: oneshot::Sender<oneshot::Sender<()>>,
+    stop_peers: oneshot::Sender<oneshot::Sender<()>>,
 }
 
 impl Daemon {
@@ -379,12 +379,12 @@
             Ok((listener, local))
         };
         let (listener, http) = listen(settings.listen)?;
-        let (peers, peer) = listen(settings.peer_listen)?;
+        let (peer_listener, peer) = listen(settings.peer_listen)?;
         let metrics = Metrics::open().ok_or(StartError::Metrics)?;
         let process = Process::open(settings, metrics, http, peer);
         let client = crate::connection::client().await.ok_or(StartError::Client)?;
         let worker = Worker { process: Arc::clone(&process), client };
-        let peers = start_peering(&process, peers, peer)
+        let stop_peers = start_peering(&process, peer_listener, peer)
             .map_err(|reason| StartError::Listen { address: peer, reason })?;
         ntex::rt::spawn(watch::run(worker.clone(), watch::Key::Hosts)).detach();
         ntex::rt::spawn(watch::run(worker.clone(), watch::Key::Text)).detach();
@@ -394,7 +394,7 @@
         let server = serve(&process, listener)
             .map_err(|reason| StartError::Listen { address: http, reason })?;
         ::log::info!(http:% = http, peer:% = peer; "listening");
-        Ok(Self { process, http, peer, server, peers })
+        Ok(Self { process, http, peer, server, stop_peers })
     }
 
     /// Returns the address that callers connect to.
@@ -410,9 +410,9 @@
     /// Stops listening for peers, so that a replacement process can bind the address at once.
     async fn release_peer_address(&mut self) {
         let (confirm, confirmed) = oneshot::channel();
-        let (idle, _) = oneshot::channel();
-        let peers = std::mem::replace(&mut self.peers, idle);
-        if peers.send(confirm).is_ok() {
+        let (unused, _) = oneshot::channel();
+        let stop = std::mem::replace(&mut self.stop_peers, unused);
+        if stop.send(confirm).is_ok() {
             let _ = confirmed.await;
         }
     }
@@ -443,9 +443,9 @@
         let process = &self.process;
         process.leaving.store(true, Ordering::Release);
         process.control.leave(process.clock.now());
-        ::log::info!(open = self.process.open.load(Ordering::Acquire); "draining");
+        ::log::info!(open = self.process.in_flight.load(Ordering::Acquire); "draining");
         ntex::time::sleep(LEAVE_NOTICE).await;
-        while self.process.open.load(Ordering::Acquire) > 0 {
+        while self.process.in_flight.load(Ordering::Acquire) > 0 {
             ntex::time::sleep(DRAIN_POLL).await;
         }
         self.process.stopped.store(true, Ordering::Release);
--- a/crates/daemon/src/process/reconcile.rs
+++ b/crates/daemon/src/process/reconcile.rs
@@ -60,7 +60,8 @@
     /// Reads the engines that this host owns and sends the orders that are due.
     ///
     /// Returns whether to run the next round after [`BUSY_INTERVAL`]: an engine is loading,
-    /// unreadable or not yet in its desired setup, or nothing can be served yet.
+    /// unreadable, to be loaded, cannot be ordered or has just taken a higher fencing number, or
+    /// this process is not ready to serve.
     async fn round(&mut self, worker: &Worker) -> bool {
         let Some(snapshot) = worker.process.serving() else { return true };
         let (revision, digest) = (snapshot.version.revision(), snapshot.version.digest());
--- a/crates/daemon/src/version/watch.rs
+++ b/crates/daemon/src/version/watch.rs
@@ -29,7 +29,7 @@
 /// The maximum size of a value at the platform, in bytes.
 const MAX_VALUE: usize = 1 << 20;
 
-/// A value that the platform publishes.
+/// The key of a value that the platform publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Key {
     Text,
