--- a/crates/gateway/src/connection/mod.rs
+++ b/crates/gateway/src/connection/mod.rs
@@ -1,8 +1,8 @@
-//! What lives as long as a connection: calls to targets and the registry, links between entries.
+//! Connections: HTTP exchanges with targets and the registry, and links between entries.
 
 pub(crate) mod deflate;
 pub(crate) mod exchange;
 pub(crate) mod frame;
 pub(crate) mod link;
-pub(crate) mod tally;
+pub(crate) mod monitor;
 pub(crate) mod traffic;
--- /dev/null
+++ b/crates/gateway/src/process/fleet/heartbeat.rs
@@ -0,0 +1,148 @@
+//! Sends heartbeats with this entry's state to linked entries, and handles the heartbeats of
+//! others.
+
+use std::sync::Arc;
+
+use fireflyhoist_policy::heartbeat::{self, Schedule};
+use fireflyhoist_policy::id;
+use fireflyhoist_policy::observation::Observer;
+use ntex::time::sleep;
+
+use crate::connection::frame::{Frame, Heartbeat, Load, TargetOutcome};
+use crate::process::fleet::Fleet;
+
+impl Fleet {
+    /// Sends a heartbeat to every linked entry.
+    pub(crate) fn send_heartbeats(&self) {
+        self.send_to_actives();
+        self.send_to_leaves();
+    }
+
+    /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `endings`.
+    fn new_beat(&self, held: Vec<Load>) -> Heartbeat {
+        Heartbeat {
+            follows: false,
+            outcomes: Vec::new(),
+            ready: self.process.is_ready(),
+            text: self.process.revision(),
+            targets: self.process.target_list_position(),
+            cordons: self.process.cordon_heartbeat_update(),
+            registry_up: self.process.is_registry_available(),
+            watching: self.process.is_watching(),
+            loads: held,
+        }
+    }
+
+    /// Sends a heartbeat to all linked actives, after announcing poison records and limits to them.
+    fn send_to_actives(&self) {
+        self.announce_poison();
+        self.announce_limits();
+        let (actives, _) = self.actives_and_leaves();
+        let view = self.view();
+        let endings = self.process.take_outcomes();
+        if self.is_active() {
+            // Includes what leaves have in flight; other actives announce their own load.
+            let held = self.process.usage_with(|host| !view.actives.contains(host));
+            let beat = Heartbeat { outcomes: endings, ..self.new_beat(held) };
+            self.links.send_all(actives.iter(), &Frame::Heartbeat(beat));
+            return;
+        }
+        let primary = view.links.first().map(|member| &member.host);
+        let source = self.change_source();
+        for active in &actives {
+            // The load is sent to one active only, or it would be counted twice.
+            let held = if Some(active) == primary { self.process.own_usage() } else { Vec::new() };
+            let follows = Some(active) == source.as_ref();
+            let endings = endings.clone();
+            let beat = Heartbeat { follows, outcomes: endings, ..self.new_beat(held) };
+            self.links.send(active, &Frame::Heartbeat(beat));
+        }
+    }
+
+    /// Returns the active that forwards each change of targets to this entry if it is a leaf.
+    fn change_source(&self) -> Option<id::Host> {
+        let view = self.view();
+        let peers = self.peers.lock();
+        let mut linked = view.links.iter().filter(|member| peers.contains_key(&member.host));
+        linked.next().map(|member| member.host.clone())
+    }
+
+    /// Sends the first heartbeat over a link that has just opened. It includes the cordons even if
+    /// they have not changed.
+    pub(super) fn send_first_beat(&self, to: &id::Host) {
+        let cordons = self.process.cordon_update();
+        let beat = Heartbeat { cordons, ..self.new_beat(Vec::new()) };
+        self.links.send(to, &Frame::Heartbeat(beat));
+    }
+
+    /// Sends a heartbeat to all linked leaves. Only leaves that have requests in flight get the load of
+    /// the other entries, each without its own.
+    fn send_to_leaves(&self) {
+        let (_, leaves) = self.actives_and_leaves();
+        let (busy, idle): (Vec<id::Host>, Vec<id::Host>) =
+            leaves.into_iter().partition(|leaf| self.process.has_usage(leaf));
+        self.links.send_all(idle.iter(), &Frame::Heartbeat(self.new_beat(Vec::new())));
+        for leaf in &busy {
+            let held = self.process.usage_with(|host| host != leaf);
+            self.links.send(leaf, &Frame::Heartbeat(self.new_beat(held)));
+        }
+    }
+
+    /// Sends heartbeats on schedule, and extra ones to actives soon after a generation was sent,
+    /// for as long as the process runs.
+    pub(super) async fn heartbeat_loop(self: Arc<Self>) {
+        let mut schedule = Schedule::open(self.now());
+        loop {
+            let generation_sent = tokio::select! {
+                () = sleep(schedule.wait(self.now())) => false,
+                () = self.process.heartbeat_requested() => true,
+            };
+            if generation_sent {
+                sleep(heartbeat::COALESCE_DELAY).await;
+                self.send_to_actives();
+            }
+            let Some(recipients) = schedule.take_due(self.now()) else { continue };
+            if self.is_active() || recipients == heartbeat::Recipients::All {
+                self.send_to_actives();
+            }
+            if recipients == heartbeat::Recipients::All {
+                self.send_to_leaves();
+            }
+            self.process.report_usage();
+        }
+    }
+
+    fn apply_endings(&self, from: &id::Host, endings: Vec<TargetOutcome>) {
+        if endings.is_empty() {
+            return;
+        }
+        let domain = self.peers.lock().get(from).map(|peer| peer.member.domain.clone());
+        let Some(domain) = domain else { return };
+        self.process.apply_outcomes(&Observer { host: from.clone(), domain }, endings);
+    }
+
+    /// Applies a heartbeat of another entry, and requests the text and targets that it has and this
+    /// entry lacks.
+    pub(super) fn handle_beat(&self, from: &id::Host, mut beat: Heartbeat) {
+        self.catch_up(from, &beat);
+        self.apply_endings(from, std::mem::take(&mut beat.outcomes));
+        if let Some(update) = &beat.cordons {
+            self.process.apply_cordon_update(update.clone());
+        }
+        if self.process.set_peer_usage(from, Some(beat.loads.clone())) {
+            self.process.report_usage();
+        }
+        let mut peers = self.peers.lock();
+        let Some(peer) = peers.get_mut(from) else { return };
+        let differs =
+            |old: &Heartbeat| old.registry_up != beat.registry_up || old.ready != beat.ready;
+        let view_changes = peer.beat.as_ref().is_none_or(differs);
+        let previous = peer.beat.take().and_then(|old| old.cordons);
+        beat.cordons = beat.cordons.or(previous);
+        peer.beat = Some(beat);
+        drop(peers);
+        if view_changes {
+            self.stale.notify_one();
+        }
+    }
+}
--- a/crates/gateway/src/request/probe.rs
+++ b/crates/gateway/src/request/probe.rs
@@ -1,12 +1,12 @@
-//! Readiness and metrics.
+//! Endpoints for readiness and metrics.
 
 use ntex::http::{Request, Response};
 
 use crate::platform::Platform;
-use crate::process::metrics::Now;
+use crate::process::metrics::GaugeValues;
 use crate::process::state::Process;
 
-/// Whether callers should come here.
+/// Responds 200 if callers should use this entry, and 503 if not.
 pub(crate) fn readiness<P: Platform>(process: &Process, request: &Request) -> Response {
     if request.path() != P::READINESS {
         return Response::NotFound().finish();
@@ -17,13 +17,13 @@
     }
 }
 
-/// The metrics of this process.
+/// Responds with the metrics of this process in the Prometheus text format.
 pub(crate) fn metrics(process: &Process) -> Response {
-    let page = process.metrics.page(Now {
+    let page = process.metrics.page(GaugeValues {
         open: process.open_requests(),
         revision: process.revision(),
         era: process.era(),
-        held: process.held_back(),
+        held: process.suspects(),
         limited: process.limited_targets(),
         cordoned: process.cordoned_domains(),
         cold: process.cold_targets(),
--- a/crates/gateway/tests/broken.rs
+++ b/crates/gateway/tests/broken_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that break off, and what is known of their targets.
+//! Runs that break off, and whether their targets have ended.
 
 mod support;
 
@@ -11,24 +11,24 @@
 use yare::parameterized;
 
 const SAFE: Kind = Kind::Safe;
-const PAGE: Kind = Kind::Stream { resumable: false };
+const STREAM: Kind = Kind::Stream { resumable: false };
 
-async fn count(gateway: &Gateway, fate: &str) -> String {
+async fn broken_runs(gateway: &Gateway, fate: &str) -> String {
     let page = Request::get("/metrics").send(gateway.metrics()).await.body;
     let start = format!("fireflyhoist_broken_runs_total{{target=\"{fate}\"}} ");
     let found = page.lines().find_map(|line| line.strip_prefix(start.as_str()).map(str::to_owned));
     found.unwrap_or_default()
 }
 
-/// Guards against a target that ended being taken for one whose connection was reset.
+/// Guards against a target that ended being confused with one that reset a connection.
 #[parameterized(
     ends_before_its_head = { SAFE, vec![Step::End], "ended" },
-    ends_within_a_stream = { PAGE, vec![stream_head(), event(1), Step::End], "ended" },
+    ends_within_a_stream = { STREAM, vec![stream_head(), event(1), Step::End], "ended" },
     resets_before_its_head = { SAFE, vec![Step::Reset], "lives" },
-    resets_within_a_stream = { PAGE, vec![stream_head(), event(1), Step::Reset], "lives" },
+    resets_within_a_stream = { STREAM, vec![stream_head(), event(1), Step::Reset], "lives" },
 )]
 #[test_macro(ntex::test)]
-async fn a_target_that_ended_is_told_from_one_that_lives(
+async fn an_ended_target_is_distinguished_from_a_live_one(
     kind: Kind,
     script: Vec<Step>,
     fate: &'static str,
@@ -39,12 +39,12 @@
     registry.put(target.listed.clone());
     let gateway = gateway(&registry).await;
     let _ = Request::stream("/web/x", 20).body("b").send(gateway.callers()).await;
-    eventually(async || !count(&gateway, fate).await.is_empty()).await;
+    eventually(async || !broken_runs(&gateway, fate).await.is_empty()).await;
 }
 
-/// Guards against a target with a failure of its own being counted as one that broke off.
+/// Guards against an error response of a target being counted as a broken run.
 #[ntex::test]
-async fn an_answer_of_failure_breaks_nothing_off() {
+async fn an_error_response_is_not_a_broken_run() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let target = Standin::open("t-1", "web", |_| answer(500, "no")).await;
@@ -53,11 +53,11 @@
     let answer = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
     assert_eq!(answer.status, 500);
     for fate in ["ended", "lives", "leaving"] {
-        assert_eq!(count(&gateway, fate).await, "");
+        assert_eq!(broken_runs(&gateway, fate).await, "");
     }
 }
 
-/// Guards against a target that was replaced at its address being taken for one that lives.
+/// Guards against a target being considered alive because its replacement listens at its address.
 #[ntex::test]
 async fn a_target_that_is_replaced_at_once_has_ended() {
     let registry = Registry::open().await;
@@ -71,8 +71,8 @@
     let page = async || Request::get("/metrics").send(gateway.metrics()).await.body;
     for nth in 0..3 {
         let _ = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
-        eventually(async || count(&gateway, "lives").await == (nth + 1).to_string()).await;
-        // The next start is listed, and the one before no more.
+        eventually(async || broken_runs(&gateway, "lives").await == (nth + 1).to_string()).await;
+        // The next target is listed, and the previous one is not any more.
         let next = Standin::open(&format!("t-{}", nth + 1), "web", script).await;
         registry.put(next.listed.clone());
         let old = listed(&format!("t-{nth}"), "web", next.listed.address);
@@ -82,9 +82,10 @@
     eventually(async || page().await.contains("fireflyhoist_held_requests 1")).await;
 }
 
-/// Guards against a target that ended being taken for one that left once another answers at its address.
+/// Guards against a target that ended being considered to have left, because another one answers
+/// at its address.
 #[ntex::test]
-async fn a_target_whose_address_is_another_s_has_ended() {
+async fn a_target_whose_address_was_taken_over_has_ended() {
     let registry = Registry::open().await;
     let web = Route { attempts: 1, ..route("web", Kind::Unsafe) };
     registry.publish(text(1, vec![web]));
@@ -99,13 +100,13 @@
         gateway(&registry).await
     };
     for nth in 0..3 {
-        let ask = async |body: &str| {
+        let send = async |body: &str| {
             Request::new("POST", "/web/x").body(body).send(gateway.callers()).await
         };
-        ask("b").await;
-        eventually(async || count(&gateway, "lives").await == (nth + 1).to_string()).await;
-        // Past the pause after a failure.
-        eventually(async || ask("c").await.body.contains("declined")).await;
+        send("b").await;
+        eventually(async || broken_runs(&gateway, "lives").await == (nth + 1).to_string()).await;
+        // Until the target gets requests again, after the pause that follows its failure.
+        eventually(async || send("c").await.body.contains("declined")).await;
         let next = Standin::open(&format!("t-{}", nth + 1), "web", script).await;
         registry.put(next.listed.clone());
         registry.remove(&listed(&format!("t-{nth}"), "web", next.listed.address));
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Every token once, in order and from one generation, whatever becomes of its engine.
+//! Streams deliver every token once, in order and from one generation, whatever happens to their
+//! engine.
 
 mod support;
 
@@ -6,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use fireflyhoist_gateway::native::{Copied, Move, State};
+use fireflyhoist_gateway::native::{Copied, Move, Report};
 use fireflyhoist_policy::lease::{Start, Target};
 use fireflyhoist_policy::route::Kind;
 use fireflyhoist_standin::registry::{Mood, Registry};
@@ -17,7 +18,7 @@
 use support::{eventually, gateway, route, text};
 use yare::parameterized;
 
-const PAGE: Kind = Kind::Stream { resumable: false };
+const STREAM: Kind = Kind::Stream { resumable: false };
 const RESUMABLE: Kind = Kind::Stream { resumable: true };
 
 fn pause(ms: u64) -> Step {
@@ -39,36 +40,36 @@
     registry
 }
 
-/// The entry collects a page and hands it over at its end: a supervisor watches nothing arrive.
+/// Guards against an entry buffering a stream until its end instead of forwarding each event.
 #[ntex::test]
-async fn events_go_on_as_they_come() {
-    let registry = registry(PAGE).await;
+async fn events_are_forwarded_as_they_arrive() {
+    let registry = registry(STREAM).await;
     let script = |_: &Seen| vec![stream_head(), event(1), pause(600), event(2), stream_end()];
     let engine = Standin::open("e-1", "gen", script).await;
     registry.put(engine.listed.clone());
     let gateway = gateway(&registry).await;
     let mut caller = Request::stream("/gen/x", 20).body("b").open(gateway.callers()).await;
     let began = tokio::time::Instant::now();
-    let mut got = String::new();
-    while !got.contains("id: 1\n") {
+    let mut received = String::new();
+    while !received.contains("id: 1\n") {
         let mut bytes = [0; 1024];
         let read = tokio::io::AsyncReadExt::read(&mut caller, &mut bytes).await.expect("bytes");
-        assert!(read > 0, "{got}");
-        got.push_str(&String::from_utf8_lossy(&bytes[..read]));
+        assert!(read > 0, "{received}");
+        received.push_str(&String::from_utf8_lossy(&bytes[..read]));
     }
     assert!(began.elapsed() < Duration::from_millis(500), "{:?}", began.elapsed());
-    assert!(!got.contains("id: 2"), "{got}");
+    assert!(!received.contains("id: 2"), "{received}");
 }
 
-/// An engine ends in the middle of a page, and the page looks finished: a line of passengers is
-/// missing and nobody knows. What is broken off never ends like a whole answer, half an event is
-/// never shown, and no second answer is written into the first.
+/// Guards against a truncated stream looking complete when its engine crashes. It must not end like
+/// a complete answer, an incomplete event must not be delivered, and no second answer may be
+/// written into the first.
 #[ntex::test]
-async fn a_page_that_breaks_off_does_not_look_whole() {
-    let registry = registry(PAGE).await;
-    let half = Step::Write("d\r\nid: 3\ndata: t\r\n".to_owned());
+async fn an_interrupted_stream_does_not_look_complete() {
+    let registry = registry(STREAM).await;
+    let partial_event = Step::Write("d\r\nid: 3\ndata: t\r\n".to_owned());
     let script = move |_: &Seen| {
-        vec![stream_head(), event(1), event(2), half.clone(), pause(50), Step::Reset]
+        vec![stream_head(), event(1), event(2), partial_event.clone(), pause(50), Step::Reset]
     };
     let engine = Standin::open("e-1", "gen", script).await;
     registry.put(engine.listed.clone());
@@ -76,13 +77,13 @@
     let answer = Request::stream("/gen/x", 20).body("b").send(gateway.callers()).await;
     assert_eq!((answer.status, answer.body), (200, events(1, 2)));
     assert!(!answer.whole);
-    assert_eq!(answer.surplus, 0);
+    assert_eq!(answer.trailing_bytes, 0);
 }
 
-/// A village is mapped half and then never: the engine broke off, and the kind of request may be
-/// taken up by another. It goes on after the last event, within the answer that has begun.
+/// Guards against a resumable stream being lost when its engine fails: it is resumed at another
+/// engine after the last delivered event, within the same answer.
 #[ntex::test]
-async fn a_resumable_answer_goes_on_at_another_engine() {
+async fn a_resumable_stream_resumes_at_another_engine() {
     let registry = registry(RESUMABLE).await;
     for name in ["e-1", "e-2"] {
         let script = |seen: &Seen| match seen.header("last-event-id") {
@@ -99,9 +100,10 @@
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 6), true));
 }
 
-/// Guards against a refusal that says not run after an attempt that broke off and may have run.
+/// Guards against an answer that says that the request did not run although an earlier attempt was
+/// interrupted and may have run.
 #[ntex::test]
-async fn a_refusal_after_a_run_that_broke_off_does_not_say_that_none_ran() {
+async fn a_refusal_after_an_interrupted_run_does_not_say_that_none_ran() {
     let registry = registry(RESUMABLE).await;
     let count = Arc::new(AtomicUsize::new(0));
     for name in ["e-1", "e-2"] {
@@ -118,11 +120,12 @@
     assert!(!answer.body.contains("\"ran\":\"no\""), "{answer:?}");
 }
 
-/// An engine is cut off, crashes and starts again under its name. The entry's connection to the run
-/// of before stays open and silent, and its caller would wait until its time is up. The newer start
-/// tells that the run is gone, so the answer goes on at another engine at once.
+/// Guards against a caller waiting until its timeout for a run that no longer exists. Its engine
+/// was disconnected, crashed and restarted under the same name, while the entry's connection to the
+/// earlier run stays open and silent. The newer start time shows that the run is lost, so the
+/// stream resumes at another engine at once.
 #[ntex::test]
-async fn an_answer_leaves_a_run_whose_engine_has_started_again() {
+async fn a_stream_resumes_elsewhere_after_its_engine_restarted() {
     let registry = registry(RESUMABLE).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2"] {
@@ -148,11 +151,11 @@
     assert!(answer.took < Duration::from_secs(3), "{:?}", answer.took);
 }
 
-/// An engine crashes in the middle of a long page. Another keeps a copy of it, made as it grew, and
-/// the page goes on from there: the caller sees each event once.
+/// After a crash in the middle of a long stream, the stream resumes from the copy that a backup
+/// engine received while it grew. The caller gets each event once.
 #[ntex::test]
-async fn a_page_goes_on_from_its_copy() {
-    let registry = registry(PAGE).await;
+async fn a_stream_resumes_from_its_backup_copy() {
+    let registry = registry(STREAM).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2"] {
         let script =
@@ -171,22 +174,23 @@
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 9), true));
     let seen: Vec<Seen> = engines.iter().flat_map(Standin::seen).collect();
     let first = seen.iter().find(|seen| seen.header("fireflyhoist-copy").is_none()).expect("a run");
-    let backup = first.header("fireflyhoist-backup").expect("a copy is asked for");
+    let backup = first.header("fireflyhoist-backup").expect("a backup copy is requested");
     let second =
         seen.iter().find(|seen| seen.header("fireflyhoist-copy").is_some()).expect("a run");
     assert_eq!(second.header("fireflyhoist-copy"), Some(format!("{backup}/r-1").as_str()));
 }
 
-/// An engine that is taken back: its page is copied while it goes on, stopped, and goes on at the
-/// engine that has the copy. Events that the first made meanwhile are not shown twice. A caller that
-/// had guessed a short answer loses it no more than others: guesses are often far off.
+/// Guards against losing a stream whose engine drains. Its memory is copied while it runs, then the
+/// run is stopped, and it resumes at the engine that has the copy. Events that the first engine
+/// produced in between are delivered once. A caller whose expected length was too short is treated
+/// alike, since such estimates are often far off.
 #[parameterized(
-    as_guessed = { "500" },
-    longer_than_guessed = { "10" },
+    as_expected = { "500" },
+    longer_than_expected = { "10" },
 )]
 #[test_macro(ntex::test)]
-async fn a_page_moves_when_its_engine_leaves(guess: &str) {
-    let registry = registry(PAGE).await;
+async fn a_stream_migrates_when_its_engine_drains(expected_tokens: &str) {
+    let registry = registry(STREAM).await;
     let mut engines = Vec::new();
     let moves = Arc::new(AtomicUsize::new(0));
     for name in ["e-1", "e-2"] {
@@ -195,7 +199,11 @@
             if seen.line().starts_with("POST /v1/runs/r-1/move") {
                 let asked: Move = serde_json::from_str(&seen.body).expect("a move");
                 let nth = moves.fetch_add(1, Ordering::SeqCst);
-                assert_eq!(asked.last, nth == 1, "first a copy, then the rest");
+                assert_eq!(
+                    asked.last,
+                    nth == 1,
+                    "a copy of the running stream first, then of the rest"
+                );
                 let copied = Copied { copy: Some("c-7".into()) };
                 return answer(200, &serde_json::to_string(&copied).expect("JSON"));
             }
@@ -203,7 +211,7 @@
                 (Some(copy), Some(last)) => {
                     assert!(copy.ends_with("/c-7"), "{copy}");
                     let last: u64 = last.parse().expect("a number");
-                    // The copy is a little older than what was delivered.
+                    // The copy is slightly older than the last delivered event.
                     run(last.saturating_sub(1).max(1), 60, stream_end())
                 }
                 _ => run(1, 500, stream_end()),
@@ -213,11 +221,11 @@
     }
     engines.iter().for_each(|engine| registry.put(engine.listed.clone()));
     let gateway = gateway(&registry).await;
-    // Too large for a copy ahead, so that it has to be moved.
+    // Too large for a backup copy while it grows, so that it has to be migrated.
     let request = Request::new("POST", "/gen/x")
         .header("fireflyhoist-prompt-tokens", "60000")
         .header("fireflyhoist-max-tokens", "500")
-        .header("fireflyhoist-expected-tokens", guess)
+        .header("fireflyhoist-expected-tokens", expected_tokens)
         .body("b");
     let callers = gateway.callers();
     let answered = ntex::rt::spawn(async move { request.send(callers).await });
@@ -231,12 +239,12 @@
     assert_eq!(moves.load(Ordering::SeqCst), 2);
 }
 
-/// A full engine says that it has not run a page. The route allows one attempt, so the caller is
-/// told at once that nothing ran, and when to come back.
+/// A full engine declines a stream whose route allows one attempt: the caller learns at once that
+/// the request did not run, and when to retry.
 #[ntex::test]
-async fn a_declined_page_is_refused_truly() {
+async fn a_declined_stream_is_refused_as_not_run() {
     let registry = Registry::open().await;
-    let mut single = route("gen", PAGE);
+    let mut single = route("gen", STREAM);
     single.attempts = 1;
     registry.publish(text(1, vec![single]));
     let engine = Standin::open("e-1", "gen", |_| declined()).await;
@@ -248,11 +256,11 @@
     assert_eq!(engine.seen().len(), 1);
 }
 
-/// A page that has begun passes its route's timeout: it is broken off there, visibly.
+/// A stream that exceeds the timeout of its route is cut off, and does not look complete.
 #[ntex::test]
-async fn a_page_is_broken_off_at_its_routes_timeout() {
+async fn a_stream_is_cut_at_the_route_timeout() {
     let registry = Registry::open().await;
-    let mut short = route("gen", PAGE);
+    let mut short = route("gen", STREAM);
     short.timeout = Duration::from_millis(400);
     registry.publish(text(1, vec![short]));
     let engine = Standin::open("e-1", "gen", |_| run(1, 500, stream_end())).await;
@@ -263,11 +271,10 @@
     assert!(answer.took < Duration::from_millis(900), "{:?}", answer.took);
 }
 
-/// Engines fail in the middle of every answer, each answer is begun again and again, and the load
-/// keeps them failing. A run that begins anew counts as an attempt of its route, and draws on the
-/// budget that bounds repeats.
+/// Guards against engines that fail in the middle of every stream being kept failing by the load of
+/// repeated runs. A resumed run counts as an attempt of its route and draws on the retry budget.
 #[ntex::test]
-async fn an_answer_is_begun_anew_no_more_often_than_its_route_allows() {
+async fn resumed_runs_count_as_attempts_of_the_route() {
     let registry = registry(RESUMABLE).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2", "e-3", "e-4"] {
@@ -285,62 +292,68 @@
     assert_eq!(engines.iter().map(|engine| engine.seen().len()).sum::<usize>(), 2);
 }
 
-/// A member closes a page that is half there, and its engine, which is between two tokens, goes on
-/// generating for nobody: nothing is written to the caller that could fail. The engine's connection
-/// closes as soon as the caller's does.
+/// Guards against an engine that keeps generating after its caller has disconnected between two
+/// events, when no write to the caller could fail. The entry must close its connection to the
+/// engine as soon as the caller closes its own.
 #[ntex::test]
-async fn an_engine_is_told_when_the_caller_leaves_between_two_events() {
-    let registry = registry(PAGE).await;
+async fn a_caller_disconnecting_between_events_closes_the_connection_to_the_engine() {
+    let registry = registry(STREAM).await;
     let script = |_: &Seen| vec![stream_head(), event(1), Step::Hang];
     let engine = Standin::open("e-1", "gen", script).await;
     registry.put(engine.listed.clone());
     let gateway = gateway(&registry).await;
     let mut caller = Request::stream("/gen/x", 20).body("b").open(gateway.callers()).await;
-    let mut got = String::new();
-    while !got.contains("id: 1\n") {
+    let mut received = String::new();
+    while !received.contains("id: 1\n") {
         let mut bytes = [0; 1024];
         let read = tokio::io::AsyncReadExt::read(&mut caller, &mut bytes).await.expect("bytes");
-        assert!(read > 0, "{got}");
-        got.push_str(&String::from_utf8_lossy(&bytes[..read]));
+        assert!(read > 0, "{received}");
+        received.push_str(&String::from_utf8_lossy(&bytes[..read]));
     }
-    let left = tokio::time::Instant::now();
+    let disconnected_at = tokio::time::Instant::now();
     drop(caller);
     eventually(async || !engine.closed().is_empty()).await;
-    assert!(left.elapsed() < Duration::from_millis(500), "{:?}", left.elapsed());
+    assert!(
+        disconnected_at.elapsed() < Duration::from_millis(500),
+        "{:?}",
+        disconnected_at.elapsed()
+    );
 }
 
-/// Who tells that an engine is taken back.
+/// The source of the notice that an engine drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Notice {
     Registry,
-    /// The engine's own report; the registry hangs.
+    /// The engine's own report; the registry does not respond.
     Report,
 }
 
-/// Plays a page at an engine that is taken back, of which one copy is made; `rest` answers the call
-/// that stops the run. Returns the caller's answer and all that both engines saw.
-async fn taken_back(
+/// Runs a stream at an engine that then drains; the copy of the running stream succeeds.
+/// `final_move` answers the call that stops the run and copies the rest, and `end` is the last step
+/// of the draining engine after its events. Returns the caller's answer and the requests that both
+/// engines received.
+async fn migrate_from_draining(
     notice: Notice,
-    rest: impl Fn() -> Vec<Step> + Clone + Send + Sync + 'static,
+    final_move: impl Fn() -> Vec<Step> + Clone + Send + Sync + 'static,
     end: Step,
 ) -> (support::caller::Answer, Vec<Seen>) {
     let leaving = Arc::new(parking_lot::Mutex::new(None::<String>));
-    // A registry that hangs is noticed within two seconds.
-    let whole = if notice == Notice::Report { 160 } else { 40 };
-    let registry = registry(PAGE).await;
+    // An unresponsive registry is detected within two seconds.
+    let event_count = if notice == Notice::Report { 160 } else { 40 };
+    let registry = registry(STREAM).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2"] {
-        let (rest, end, leaving) = (rest.clone(), end.clone(), Arc::clone(&leaving));
+        let (final_move, end, leaving) = (final_move.clone(), end.clone(), Arc::clone(&leaving));
         let script = move |seen: &Seen| {
             if seen.line().starts_with("GET /v1/report") {
                 let leaving = leaving.lock().as_deref() == Some(name);
-                return answer(200, &serde_json::to_string(&State { leaving }).expect("JSON"));
+                return answer(200, &serde_json::to_string(&Report { leaving }).expect("JSON"));
             }
             if seen.line().starts_with("POST /v1/runs/r-1/move") {
                 let asked: Move = serde_json::from_str(&seen.body).expect("a move");
                 let copied = Copied { copy: Some("c-1".into()) };
                 return match asked.last {
-                    true => rest(),
+                    true => final_move(),
                     false => answer(200, &serde_json::to_string(&copied).expect("JSON")),
                 };
             }
@@ -348,12 +361,12 @@
                 return answer(200, "");
             }
             match (seen.header("fireflyhoist-copy"), seen.header("last-event-id")) {
-                // No copy was made as it grew.
+                // No backup copy was made while it grew.
                 (Some(copy), _) if copy.ends_with("/r-1") => declined(),
                 (Some(_), Some(last)) => {
-                    run(last.parse::<u64>().expect("a number") + 1, whole, stream_end())
+                    run(last.parse::<u64>().expect("a number") + 1, event_count, stream_end())
                 }
-                _ => run(1, whole - 10, end.clone()),
+                _ => run(1, event_count - 10, end.clone()),
             }
         };
         engines.push(Standin::open(name, "gen", script).await);
@@ -361,7 +374,7 @@
     engines.iter().for_each(|engine| registry.put(engine.listed.clone()));
     let gateway = gateway(&registry).await;
     let callers = gateway.callers();
-    // Too large for a copy ahead, so that it has to be moved.
+    // Too large for a backup copy while it grows, so that it has to be migrated.
     let request =
         Request::stream("/gen/x", 500).header("fireflyhoist-prompt-tokens", "60000").body("b");
     let answered = ntex::rt::spawn(async move { request.send(callers).await });
@@ -380,56 +393,60 @@
     (answer, engines.iter().flat_map(Standin::seen).collect())
 }
 
-/// A volunteer scans a page again although its memory was safe: the engine that was taken back had
-/// copied it, and was gone when the run was to be stopped for the rest. The page goes on from the
-/// part, and the next engine reads what that lacks.
+/// Guards against recomputing a whole prompt although a copy exists: the draining engine had made a
+/// first copy and had ended before the run could be stopped and the rest copied. The stream resumes
+/// from the first copy, and the next engine recomputes what it lacks.
 #[ntex::test]
-async fn a_page_goes_on_from_the_part_that_was_copied() {
-    let (answer, seen) = taken_back(Notice::Registry, || vec![Step::Reset], Step::Reset).await;
+async fn a_stream_resumes_from_a_partial_copy() {
+    let (answer, seen) =
+        migrate_from_draining(Notice::Registry, || vec![Step::Reset], Step::Reset).await;
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 40), true));
     let copies: Vec<&str> = seen.iter().filter_map(|s| s.header("fireflyhoist-copy")).collect();
     assert!(copies.iter().any(|copy| copy.ends_with("/c-1")), "{copies:?}");
     assert!(!seen.iter().any(|seen| seen.line().starts_with("DELETE")));
 }
 
-/// Pages are refused by engines with room: copies of answers that ended while they were moved keep
-/// it for seconds. The engine is told that the copy is not needed.
+/// Guards against engines with free memory refusing streams because copies of streams that ended
+/// during their migration occupy it for seconds. Such a copy must be freed.
 #[ntex::test]
-async fn a_copy_that_nobody_needs_is_freed() {
-    let (answer, seen) = taken_back(Notice::Registry, || answer(404, "{}"), stream_end()).await;
+async fn an_unused_copy_is_freed() {
+    let (answer, seen) =
+        migrate_from_draining(Notice::Registry, || answer(404, "{}"), stream_end()).await;
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 30), true));
     let freed = seen.iter().any(|seen| seen.line().starts_with("DELETE /v1/copies/c-1"));
     assert!(freed, "{seen:?}");
 }
 
-/// Every page on an engine is cut two seconds after a notice that nobody could read: the registry
-/// was away while the engine was taken back. The engine says so itself, and is asked.
+/// Guards against every stream on an engine being cut two seconds after a notice that nobody could
+/// read because the registry was unavailable when the engine was drained. The entry asks engines
+/// for their own report, which says so too.
 #[ntex::test]
-async fn a_page_leaves_an_engine_whose_notice_cannot_be_read() {
+async fn a_stream_migrates_on_the_report_of_its_engine() {
     let copied = || {
         let copied = Copied { copy: Some("c-2".into()) };
         answer(200, &serde_json::to_string(&copied).expect("JSON"))
     };
-    let (answer, seen) = taken_back(Notice::Report, copied, Step::Reset).await;
+    let (answer, seen) = migrate_from_draining(Notice::Report, copied, Step::Reset).await;
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(1, 160), true));
     let copies: Vec<&str> = seen.iter().filter_map(|s| s.header("fireflyhoist-copy")).collect();
     assert!(copies.iter().any(|copy| copy.ends_with("/c-2")), "{copies:?}");
 }
 
-/// A page begins seconds late beside an engine that seemed empty: the memory of another page was on
-/// its way there, which only the engine knew. The entry that moves it counts it there from the
-/// first call on, so the new page waits at the entry and could still go elsewhere.
+/// Guards against a stream starting seconds late at an engine that seemed empty while the memory of
+/// another stream was being transferred to it, which only that engine knew. The entry that migrates
+/// the stream reserves its memory there from the first call on, so a new stream waits at the entry
+/// and can still be sent elsewhere.
 #[ntex::test]
-async fn no_page_is_sent_where_the_memory_of_another_is_on_its_way() {
-    const UNDER_WAY: Duration = Duration::from_millis(1_500);
-    let registry = registry(PAGE).await;
+async fn memory_reserved_for_a_migration_is_not_given_to_a_new_stream() {
+    const TRANSFER_TIME: Duration = Duration::from_millis(1_500);
+    let registry = registry(STREAM).await;
     let mut engines = Vec::new();
     for name in ["e-1", "e-2"] {
         let script = move |seen: &Seen| {
             if seen.line().starts_with("POST /v1/runs/r-1/move") {
                 let copied = Copied { copy: Some("c-1".into()) };
                 let reply = answer(200, &serde_json::to_string(&copied).expect("JSON"));
-                return [vec![Step::Wait(UNDER_WAY)], reply].concat();
+                return [vec![Step::Wait(TRANSFER_TIME)], reply].concat();
             }
             match seen.header("fireflyhoist-copy") {
                 Some(copy) if copy.ends_with("/r-1") => declined(),
@@ -441,23 +458,23 @@
     engines.iter().for_each(|engine| registry.put(engine.listed.clone()));
     let gateway = gateway(&registry).await;
     let callers = gateway.callers();
-    // One of them fills most of an engine.
-    let page = || {
+    // One of these streams fills most of an engine.
+    let stream_request = || {
         Request::new("POST", "/gen/x")
             .header("fireflyhoist-prompt-tokens", "80000")
             .header("fireflyhoist-max-tokens", "500")
             .body("b")
     };
-    ntex::rt::spawn(async move { page().send(callers).await }).detach();
+    ntex::rt::spawn(async move { stream_request().send(callers).await }).detach();
     eventually(async || engines.iter().any(|engine| !engine.seen().is_empty())).await;
     let at = engines.iter().position(|engine| !engine.seen().is_empty()).expect("one runs it");
     let (source, next) = (&engines[at], &engines[1 - at]);
     registry.put(source.draining());
     let moving = |seen: &Seen| seen.line().starts_with("POST /v1/runs/r-1/move");
     eventually(async || source.seen().iter().any(moving)).await;
-    ntex::rt::spawn(async move { page().send(callers).await }).detach();
-    tokio::time::sleep(UNDER_WAY / 2).await;
-    // The first page may have asked for a copy there that was not made.
+    ntex::rt::spawn(async move { stream_request().send(callers).await }).detach();
+    tokio::time::sleep(TRANSFER_TIME / 2).await;
+    // The first stream may have requested a backup copy there that was not made.
     let new = |seen: &Seen| seen.header("fireflyhoist-copy").is_none();
     assert!(!next.seen().iter().any(new), "{:?}", next.seen());
 }
--- a/crates/gateway/tests/targets.rs
+++ b/crates/gateway/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Where work goes while targets come, leave and fail.
+//! Which targets get requests while targets start, drain and fail.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::target::{Standin, answer, listed};
 use support::{eventually, gateway, route, text};
 
-async fn two() -> (Registry, Standin, Standin) {
+async fn two_targets() -> (Registry, Standin, Standin) {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let first = Standin::open("t-1", "web", |_| answer(200, "first")).await;
@@ -20,11 +20,11 @@
     (registry, first, second)
 }
 
-/// A dispatch is cut as its replica is taken down: it had said that it drains, and new work still
-/// went there.
+/// Guards against new requests being sent to a target that has announced that it drains: they would
+/// be cut when its process ends.
 #[ntex::test]
-async fn a_target_that_drains_gets_nothing_new() {
-    let (registry, first, second) = two().await;
+async fn a_draining_target_gets_no_new_requests() {
+    let (registry, first, second) = two_targets().await;
     let gateway = gateway(&registry).await;
     registry.put(first.draining());
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -37,11 +37,12 @@
     assert!(second.seen().len() >= 10);
 }
 
-/// A draining target is listed as ready again by an entry that was written before: work goes to a
-/// process that is about to end. What left never comes back under the same name.
+/// Guards against an outdated registry entry that lists a draining target as ready: requests would
+/// be sent to a process that is about to end. A target that has drained is not used again under the
+/// same name.
 #[ntex::test]
-async fn a_target_that_left_does_not_come_back() {
-    let (registry, first, _second) = two().await;
+async fn an_outdated_entry_does_not_restore_a_drained_target() {
+    let (registry, first, _second) = two_targets().await;
     let gateway = gateway(&registry).await;
     registry.put(first.draining());
     registry.put(first.listed.clone());
@@ -52,11 +53,12 @@
     }
 }
 
-/// The registry loses entries of targets that live, since these could not renew them while it was
-/// down. Until they are back every request would be refused with all targets free.
+/// Guards against refusing every request with all targets free after an outage of the registry:
+/// leases expire although their targets live, because they could not be renewed during the outage.
+/// Such targets stay in use until they have had time to renew.
 #[ntex::test]
-async fn targets_that_lapsed_with_the_registry_stay_in_use_until_they_are_back() {
-    let (registry, first, second) = two().await;
+async fn expired_targets_stay_in_use_after_a_registry_outage() {
+    let (registry, first, second) = two_targets().await;
     let gateway = gateway(&registry).await;
     registry.set_mood(Mood::Busy);
     tokio::time::sleep(Duration::from_millis(3_500)).await;
@@ -68,7 +70,7 @@
     let ask = async || Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
     assert_eq!(ask().await.status, 200);
     registry.put(second.listed.clone());
-    // The first stays away: it is gone.
+    // The first target does not renew its lease, so it is removed.
     eventually(async || {
         let mut bodies = Vec::new();
         for _ in 0..8 {
@@ -79,11 +81,11 @@
     .await;
 }
 
-/// A roster dispatch runs at a booking service: its replica ended, and the address now belongs to
-/// another. The instance that is meant goes along; whoever else answers declines, and it is sent to
-/// one that is meant.
+/// Guards against a request running at another service: its target has ended and the address
+/// belongs to another instance. The request names the instance that it is meant for; any other
+/// declines it, and it is sent to another target.
 #[ntex::test]
-async fn a_target_whose_address_is_anothers_is_left() {
+async fn a_target_whose_address_was_reused_is_avoided() {
     let registry = Registry::open().await;
     registry.publish(text(1, vec![route("web", Kind::Unsafe)]));
     let other = Standin::open("t-9", "other", |seen| match seen.header("fireflyhoist-instance") {
@@ -99,13 +101,13 @@
         let answer = Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "second"));
     }
-    assert!(other.seen().len() <= 1, "it is asked once at the most");
+    assert!(other.seen().len() <= 1, "the other instance got more than one request");
 }
 
-/// A watch is cut or its history dropped: what changed meanwhile is read from the list.
+/// After a watch was cut off or its history dropped, the changes in between are read from the list.
 #[ntex::test]
-async fn a_forgotten_history_is_read_again() {
-    let (registry, first, second) = two().await;
+async fn the_list_is_read_again_after_a_dropped_history() {
+    let (registry, first, second) = two_targets().await;
     let gateway = gateway(&registry).await;
     registry.remove(&first.listed);
     registry.forget();
