--- a/crates/daemon/src/connection/load.rs
+++ b/crates/daemon/src/connection/load.rs
@@ -28,8 +28,8 @@
     let reads = models.flat_map(|service| {
         service.targets.iter().map(async |target| {
             let load = read(worker, target.address).await;
-            if let (Some(load), Some(lane)) = (load, worker.process.lane(&service.name)) {
-                lane.apply_report(&target.name, &load.report, Duration::from_millis(load.age_ms));
+            if let (Some(load), Some(gate)) = (load, worker.process.gate(&service.name)) {
+                gate.apply_report(&target.name, &load.report, Duration::from_millis(load.age_ms));
             }
         })
     });
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! State with the lifetime of the process: settings, log, lanes, and the server with its drain.
+//! State with the lifetime of the process: settings, log, gates, and the server with its drain.
 
 pub(crate) mod burn;
 pub(crate) mod clock;
@@ -52,8 +52,8 @@
 /// two membership polls plus the network delay to each peer.
 const LEAVE_NOTICE: Duration = Duration::from_millis(300);
 
-/// How often lanes are polled for expired deadlines; a tenth of the shortest objective in use.
-const LANE_POLL: Duration = Duration::from_millis(10);
+/// How often gates are polled for expired deadlines; a tenth of the shortest objective in use.
+const GATE_POLL: Duration = Duration::from_millis(10);
 
 /// The reason why a daemon fails to start.
 #[derive(Debug, Display, Error)]
@@ -84,7 +84,7 @@
     pub(crate) control: Control,
     snapshot: RwLock<Option<Arc<Snapshot>>>,
     hosts: RwLock<Arc<Hosts>>,
-    lanes: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
+    gates: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
     pub(crate) limits: Arc<Limits>,
     burn: Arc<Recorder>,
     refused: RwLock<Option<String>>,
@@ -110,7 +110,7 @@
             refused: RwLock::default(),
             snapshot: RwLock::default(),
             hosts: RwLock::default(),
-            lanes: RwLock::default(),
+            gates: RwLock::default(),
             leaving: AtomicBool::new(false),
             ready: AtomicBool::new(false),
             departures: AtomicU64::new(0),
@@ -144,9 +144,9 @@
         Arc::clone(&self.hosts.read())
     }
 
-    /// Returns the lane of a service that the version in force declares.
-    pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
-        self.lanes.read().get(service).cloned()
+    /// Returns the gate of a service that the version in force declares.
+    pub(crate) fn gate(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
+        self.gates.read().get(service).cloned()
     }
 
     /// Returns the recorder that counts answers and refusals for the burn rate report.
@@ -227,7 +227,7 @@
             *current = Some(Arc::new(next.with_listed_targets(&self.hosts())));
         }
         *self.refused.write() = None;
-        self.refresh_lanes();
+        self.refresh_gates();
     }
 
     /// Records why the text read last was refused; the version in force stays.
@@ -273,11 +273,11 @@
             }
             *self.hosts.write() = Arc::new(hosts);
         }
-        self.refresh_lanes();
+        self.refresh_gates();
         true
     }
 
-    /// Updates the flags and lanes that requests read from the state of membership and versions.
+    /// Updates the flags and gates that requests read from the state of membership and versions.
     pub(crate) fn refresh(&self) {
         let view = self.control.view(self.clock.now());
         let ready = view.standing == Standing::Ready;
@@ -288,12 +288,12 @@
             ::log::info!(leaving = view.leaving; "leaving");
         }
         if self.departures.swap(view.departures, Ordering::AcqRel) != view.departures {
-            self.refresh_lanes();
+            self.refresh_gates();
         }
     }
 
-    /// Updates limits, and every lane's weights, entries and targets that may receive new work.
-    fn refresh_lanes(&self) {
+    /// Updates limits, and every gate's weights, entries and targets that may receive new work.
+    fn refresh_gates(&self) {
         let Some(snapshot) = self.snapshot() else { return };
         let hosts = self.hosts();
         self.limits.set(&snapshot.text, &hosts, &self.settings.host);
@@ -303,29 +303,29 @@
         let own = entries.iter().position(|name| **name == self.settings.host);
         let weights = snapshot.text.workspaces.iter();
         let weights = weights.map(|w| (w.name.clone(), f64::from(w.weight))).collect();
-        let mut lanes = self.lanes.write();
-        lanes.retain(|name, lane| {
+        let mut gates = self.gates.write();
+        gates.retain(|name, gate| {
             let kept = snapshot.text.service(name).is_some();
             if !kept {
-                lane.close();
+                gate.close();
             }
             kept
         });
         self.burn.retain(|name| snapshot.text.service(name).is_some());
         for service in &snapshot.text.services {
             let usable = service.targets.iter().filter(|t| !self.control.is_leaving(&t.host));
-            let lane =
-                lanes.entry(service.name.clone()).or_insert_with(|| ServiceGate::open(self.clock));
+            let gate =
+                gates.entry(service.name.clone()).or_insert_with(|| ServiceGate::open(self.clock));
             let between = Duration::from_millis(service.objective.between_tokens_ms);
-            lane.configure(&weights, between);
-            lane.set_entries(entries.len(), own);
-            lane.set_targets(usable.map(|t| t.name.clone()).collect());
+            gate.configure(&weights, between);
+            gate.set_entries(entries.len(), own);
+            gate.set_targets(usable.map(|t| t.name.clone()).collect());
         }
     }
 
-    fn poll_lanes(&self) {
-        let lanes: Vec<Arc<ServiceGate>> = self.lanes.read().values().cloned().collect();
-        lanes.iter().for_each(|lane| lane.poll());
+    fn poll_gates(&self) {
+        let gates: Vec<Arc<ServiceGate>> = self.gates.read().values().cloned().collect();
+        gates.iter().for_each(|gate| gate.poll());
     }
 
     /// Returns whether this host accepts no new work.
@@ -391,7 +391,7 @@
         ntex::rt::spawn(watch::run(worker.clone(), watch::Key::Text)).detach();
         ntex::rt::spawn(load::run(worker.clone())).detach();
         ntex::rt::spawn(reconcile::run(worker)).detach();
-        ntex::rt::spawn(run_lanes(Arc::clone(&process))).detach();
+        ntex::rt::spawn(run_gates(Arc::clone(&process))).detach();
         let server = serve(&process, listener)
             .map_err(|reason| StartError::Listen { address: http, reason })?;
         ::log::info!(http:% = http, peer:% = peer; "listening");
@@ -476,10 +476,10 @@
     Ok(stop)
 }
 
-async fn run_lanes(process: Arc<Process>) {
+async fn run_gates(process: Arc<Process>) {
     while !process.is_stopped() {
-        ntex::time::sleep(LANE_POLL).await;
-        process.poll_lanes();
+        ntex::time::sleep(GATE_POLL).await;
+        process.poll_gates();
     }
 }
 
--- a/crates/daemon/src/request/completion.rs
+++ b/crates/daemon/src/request/completion.rs
@@ -76,7 +76,7 @@
     let Some(service) = service.filter(|s| s.kind == Kind::Model) else {
         return refuse::not_found("no model service has this name; see the operators' text");
     };
-    let Some(lane) = worker.process.lane(&service.name) else {
+    let Some(lane) = worker.process.gate(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let call = Call { worker: &worker, http: &http, open, lane, service, snapshot: &snapshot };
--- a/crates/daemon/src/request/plain/repeatable.rs
+++ b/crates/daemon/src/request/plain/repeatable.rs
@@ -57,7 +57,7 @@
     body: Bytes,
     open: Rc<InFlight>,
 ) -> HttpResponse {
-    let Some(lane) = worker.process.lane(&service.name) else {
+    let Some(lane) = worker.process.gate(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let watch = worker.process.burn().watch(service);
@@ -129,7 +129,7 @@
     payload: types::Payload,
     open: Rc<InFlight>,
 ) -> HttpResponse {
-    let Some(lane) = worker.process.lane(&service.name) else {
+    let Some(lane) = worker.process.gate(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let watch = worker.process.burn().watch(service);
--- a/crates/daemon/src/request/plain/ticketed.rs
+++ b/crates/daemon/src/request/plain/ticketed.rs
@@ -205,7 +205,7 @@
 
     async fn send(&self) -> Result<Reply, Problem> {
         let Self { worker, service, message, body, .. } = self;
-        let lane = worker.process.lane(&service.name);
+        let lane = worker.process.gate(&service.name);
         let lane = lane.ok_or_else(|| refuse::failed(Ran::No))?;
         let watch = worker.process.burn().watch(service);
         let mut ask = ask(worker, service, message);
