--- a/crates/daemon/src/connection/engine.rs
+++ b/crates/daemon/src/connection/engine.rs
@@ -1,4 +1,4 @@
-//! One link to an engine that carries one generation's stream.
+//! Connections to engines, each of which carries the stream of one generation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use ntex::time::timeout;
 use ntex::util::{Bytes, stream_recv};
 
-use crate::connection::{fresh, unwritten};
+use crate::connection::{unpooled, unwritten};
 
-/// How long an engine may take to take note of a cancel.
+/// The timeout of a cancel request to an engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where a generation runs and who reads it.
+/// The engine that runs a generation, the generation and its reader.
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
     pub(crate) address: SocketAddr,
@@ -24,22 +24,24 @@
     pub(crate) reader: id::Request,
 }
 
-/// A link whose engine has answered that it has the generation.
+/// A connection whose engine has confirmed that it runs the generation.
 #[derive(Debug)]
 pub(crate) struct Link {
     payload: Payload,
 }
 
 impl Link {
-    /// Begins a generation; the engine runs it once, however often it is begun under one id.
+    /// Starts a generation.
+    ///
+    /// The engine runs it once, however often a start with the same id arrives.
     pub(crate) async fn start(
         client: &Client,
         site: &Site,
         start: &Start,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Result<Self, Failure> {
         let request = request(client, Method::POST, site, "/v1/streams");
-        let response = sent(request.send_json(start), patience).await?;
+        let response = response_within(request.send_json(start), answer_timeout).await?;
         match response.status() {
             status if status.is_success() => Ok(Self { payload: response.take_payload() }),
             StatusCode::SERVICE_UNAVAILABLE => Err(Failure::Declined),
@@ -48,25 +50,27 @@
         }
     }
 
-    /// Goes on with a generation from the token at `from` on.
+    /// Resumes reading a generation from the token at offset `from`.
     pub(crate) async fn resume(
         client: &Client,
         site: &Site,
         from: u64,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Result<Self, Failure> {
         let path = format!("/v1/streams/{}?from={from}", site.generation);
         let request = request(client, Method::GET, site, &path);
-        let response = sent(request.send(), patience).await?;
+        let response = response_within(request.send(), answer_timeout).await?;
         match response.status() {
             status if status.is_success() => Ok(Self { payload: response.take_payload() }),
-            // Too busy to answer is no reason to give up a generation that it may still run.
+            // An overloaded engine may still run the generation, so it is not given up.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(Failure::Cut),
             _ => Err(Failure::Lost),
         }
     }
 
-    /// The next bytes; the end of the connection counts as a cut, since the end mark is an event.
+    /// Reads the next bytes.
+    ///
+    /// The end of the connection is [`Failure::Cut`], because a complete stream ends with an event.
     pub(crate) async fn read(&mut self) -> Result<Bytes, Failure> {
         match stream_recv(&mut self.payload).await {
             Some(Ok(bytes)) => Ok(bytes),
@@ -76,15 +80,15 @@
 }
 
 fn request(client: &Client, method: Method, site: &Site, path: &str) -> ClientRequest {
-    // Guards against resuming into another silent connection of the pool: each link is new.
-    fresh(client, method, site.address, path).header(READER_HEADER, site.reader.to_string())
+    // A pooled connection could be as silent as the one that failed, so each link opens a new one.
+    unpooled(client, method, site.address, path).header(READER_HEADER, site.reader.to_string())
 }
 
-async fn sent(
+async fn response_within(
     send: impl Future<Output = Result<ClientResponse, ntex::client::error::ClientError>>,
-    patience: Duration,
+    answer_timeout: Duration,
 ) -> Result<ClientResponse, Failure> {
-    match timeout(patience, send).await {
+    match timeout(answer_timeout, send).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) if unwritten(&error) => Err(Failure::Refused),
         Ok(Err(_)) => Err(Failure::Cut),
@@ -92,10 +96,10 @@
     }
 }
 
-/// Tells the engine that this reader waits for the generation no more.
+/// Cancels this reader's interest in a generation at its engine; errors are ignored.
 pub(crate) async fn cancel(client: &Client, site: &Site) {
     let path = format!("/v1/streams/{}", site.generation);
     let request = request(client, Method::DELETE, site, &path);
-    // An engine that cannot be reached goes on until it notices that nobody reads.
+    // An engine that cannot be reached generates until it notices that the stream has no reader.
     drop(timeout(CANCEL_TIMEOUT, request.send()).await);
 }
--- a/crates/daemon/src/connection/load.rs
+++ b/crates/daemon/src/connection/load.rs
@@ -1,4 +1,4 @@
-//! Reads the engines' load reports for the gates.
+//! Polls the engines' load reports, which the gates use for admission.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 
 use crate::process::Worker;
 
-/// How often each engine is asked; well below the seconds by which reports lag anyway.
+/// The interval between polls; well below the seconds by which reports lag anyway.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an engine may take to answer.
+/// The timeout of one poll of an engine.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
 pub(crate) async fn run(worker: Worker) {
     loop {
-        round(&worker).await;
+        poll_engines(&worker).await;
         ntex::time::sleep(INTERVAL).await;
     }
 }
 
-async fn round(worker: &Worker) {
+async fn poll_engines(worker: &Worker) {
     let Some(snapshot) = worker.process.snapshot() else { return };
     let models = snapshot.text.services.iter().filter(|s| s.kind == Kind::Model);
     let reads = models.flat_map(|service| {
         service.targets.iter().map(async |target| {
             let load = read(worker, target.address).await;
-            if let (Some(load), Some(lane)) = (load, worker.process.lane(&service.name)) {
-                lane.apply_report(&target.name, &load.report, Duration::from_millis(load.age_ms));
+            if let (Some(load), Some(gate)) = (load, worker.process.gate(&service.name)) {
+                gate.apply_report(&target.name, &load.report, Duration::from_millis(load.age_ms));
             }
         })
     });
--- a/crates/daemon/src/connection/order.rs
+++ b/crates/daemon/src/connection/order.rs
@@ -1,4 +1,4 @@
-//! Reading what an engine holds and giving it orders.
+//! Reads the state of engines and sends them orders.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,39 +8,39 @@
 use ntex::client::Client;
 use ntex::http::StatusCode;
 
-/// How long an engine may take to say what it holds; reads stand in nobody's way.
-const READ: Duration = Duration::from_secs(1);
+/// The timeout of reading an engine's state; reads block nothing else.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What became of an order.
+/// The outcome of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Written {
-    /// The engine says that it took it.
+pub(crate) enum Outcome {
+    /// The engine accepted the order.
     Taken,
     /// The engine has seen a higher fencing number.
     Refused(Refused),
-    /// It may have arrived, may arrive later, or is lost; only the next read can tell.
+    /// The order may have arrived, may arrive later or may be lost; only the next read shows which.
     Unknown,
 }
 
-/// What the engine at `address` holds, or `None` where it does not say.
+/// Returns the state of the engine at `address`, or `None` if reading it fails.
 pub(crate) async fn read(client: &Client, address: SocketAddr) -> Option<Observed> {
     let url = format!("http://{address}{PATH}");
-    let response = client.get(url).timeout(READ).send().await.ok()?;
+    let response = client.get(url).timeout(READ_TIMEOUT).send().await.ok()?;
     if !response.status().is_success() {
         return None;
     }
     response.json().await.ok()
 }
 
-/// Gives an order, once.
-pub(crate) async fn write(client: &Client, address: SocketAddr, order: &Order) -> Written {
+/// Sends an order once, without retries.
+pub(crate) async fn write(client: &Client, address: SocketAddr, order: &Order) -> Outcome {
     let url = format!("http://{address}{PATH}");
     let Ok(response) = client.post(url).timeout(WRITE_TIMEOUT).send_json(order).await else {
-        return Written::Unknown;
+        return Outcome::Unknown;
     };
     match response.status() {
-        status if status.is_success() => Written::Taken,
-        StatusCode::CONFLICT => response.json().await.map_or(Written::Unknown, Written::Refused),
-        _ => Written::Unknown,
+        status if status.is_success() => Outcome::Taken,
+        StatusCode::CONFLICT => response.json().await.map_or(Outcome::Unknown, Outcome::Refused),
+        _ => Outcome::Unknown,
     }
 }
--- a/crates/daemon/src/connection/peer.rs
+++ b/crates/daemon/src/connection/peer.rs
@@ -1,4 +1,4 @@
-//! Links between daemons: opened when something is to be said, replaced when they fall silent.
+//! Links between daemons: opened when there is a frame to send, replaced when they go silent.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,32 +17,35 @@
 
 use crate::connection::handshake::{self, Credentials, LinkError, Socket};
 
-/// Frames that wait for one link; more are dropped, since heartbeats repeat what they say.
-const BACKLOG: usize = 64;
+/// The maximum number of frames queued for one link; more are dropped, because later heartbeats
+/// repeat their content.
+const MAX_QUEUED_FRAMES: usize = 64;
 
-/// A link on which nothing came for this long is pinged: more than a heartbeat.
-const QUIET: Duration = Duration::from_millis(2_500);
+/// A link that received nothing for this long is pinged; longer than a heartbeat interval.
+const PING_AFTER: Duration = Duration::from_millis(2_500);
 
-/// A link on which even the ping is not answered by then is given up.
-const SILENT: Duration = Duration::from_secs(5);
+/// A link that received nothing for this long, not even the answer to the ping, is closed.
+const DEAD_AFTER: Duration = Duration::from_secs(5);
 
-/// A link that carried no frame either way for this long is closed; probes and partings leave some.
-const UNUSED: Duration = Duration::from_secs(30);
+/// A link that carried no frame in either direction for this long is closed; probes and leaving
+/// members leave such links behind.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long one frame may take to be written before the link counts as stuck.
-const WRITE: Duration = Duration::from_secs(2);
+/// The timeout of writing one frame; then the link counts as stuck and is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Connections of which the key is not proved yet; further ones wait in the listener's queue.
-const UNPROVED: usize = 32;
+/// The maximum number of concurrent inbound handshakes; further connections wait in the listener's
+/// queue.
+const MAX_HANDSHAKES: usize = 32;
 
-/// What the links tell the process.
+/// An event that the links report to the process.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A frame from a host that proved the key; `era` tells frames from before a reset.
+    /// A frame from an authenticated host; `era` identifies frames read before a reset.
     Frame { era: u64, from: id::Host, frame: Frame },
-    /// A host that answered at an address of the settings.
-    Found(id::Host, SocketAddr),
-    /// A host cannot be reached.
+    /// A host that answered at a configured address.
+    Discovered(id::Host, SocketAddr),
+    /// A host that cannot be reached.
     Unreachable(id::Host),
 }
 
@@ -52,7 +55,7 @@
     credentials: Credentials,
     events: mpsc::Sender<Event>,
     open: Mutex<HashMap<id::Host, Link>>,
-    next: AtomicU64,
+    next_number: AtomicU64,
     era: AtomicU64,
 }
 
@@ -68,17 +71,17 @@
             credentials,
             events,
             open: Mutex::default(),
-            next: AtomicU64::new(0),
+            next_number: AtomicU64::new(0),
             era: AtomicU64::new(0),
         })
     }
 
-    /// The era that frames must carry to count.
+    /// Returns the current era; frames of earlier eras must be ignored.
     pub(crate) fn era(&self) -> u64 {
         self.era.load(Ordering::Acquire)
     }
 
-    /// Sends a frame over the newest link to a host, opening one where there is none.
+    /// Queues a frame on the newest link to a host, opening one if there is none.
     pub(crate) fn send(self: &Arc<Self>, to: &id::Host, address: SocketAddr, frame: &Frame) {
         let bytes = peer::encode(frame);
         let mut open = self.open.lock();
@@ -87,42 +90,42 @@
             Some(_) => return,
             None => peer::encode(frame),
         };
-        let (link, frames) = self.link();
+        let (link, frames) = self.new_link();
         let _ = link.frames.try_send(bytes);
         let number = link.number;
         open.insert(to.clone(), link);
         drop(open);
         let (links, to) = (Arc::clone(self), to.clone());
-        ntex::rt::spawn(async move { links.call(to, address, number, frames).await }).detach();
+        ntex::rt::spawn(async move { links.dial(to, address, number, frames).await }).detach();
     }
 
     /// Closes the link to a host; the next frame opens a new one.
-    pub(crate) fn replace(&self, host: &id::Host) {
+    pub(crate) fn close(&self, host: &id::Host) {
         if self.open.lock().remove(host).is_some() {
             log::info!(peer:% = host; "link replaced");
         }
     }
 
-    /// Closes every link and disowns what they have read.
+    /// Closes every link and starts a new era, so that frames read before are ignored.
     pub(crate) fn reset(&self) {
         self.era.fetch_add(1, Ordering::AcqRel);
         self.open.lock().clear();
     }
 
-    /// Looks who answers at an address of the settings, and keeps the link.
-    pub(crate) async fn find(self: &Arc<Self>, address: SocketAddr) {
-        let Ok((socket, host)) = handshake::call(&self.credentials, address, None).await else {
+    /// Dials a configured address, reports the host that answers and keeps the link.
+    pub(crate) async fn discover(self: &Arc<Self>, address: SocketAddr) {
+        let Ok((socket, host)) = handshake::dial(&self.credentials, address, None).await else {
             return;
         };
-        let (link, frames) = self.link();
+        let (link, frames) = self.new_link();
         let number = link.number;
         self.open.lock().insert(host.clone(), link);
-        let _ = self.events.send(Event::Found(host.clone(), address)).await;
+        let _ = self.events.send(Event::Discovered(host.clone(), address)).await;
         let links = Arc::clone(self);
-        ntex::rt::spawn(async move { links.carry(socket, host, number, frames).await }).detach();
+        ntex::rt::spawn(async move { links.run_link(socket, host, number, frames).await }).detach();
     }
 
-    /// Takes in links until it is told to stop, which it confirms once the address is free again.
+    /// Accepts links until `stop` resolves, then frees the address and confirms.
     pub(crate) async fn listen(
         self: Arc<Self>,
         listener: TcpListener,
@@ -133,7 +136,7 @@
             confirm = stop => {
                 drop(listener);
                 if let Ok(confirm) = confirm {
-                    // Nobody waits any more where the daemon was dropped meanwhile.
+                    // The receiver is gone if the daemon was dropped meanwhile.
                     let _ = confirm.send(());
                 }
             }
@@ -141,19 +144,19 @@
     }
 
     async fn accept(self: &Arc<Self>, listener: &TcpListener) {
-        let places = Arc::new(Semaphore::new(UNPROVED));
+        let permits = Arc::new(Semaphore::new(MAX_HANDSHAKES));
         loop {
-            let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+            let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
             let Ok((stream, from)) = listener.accept().await else {
-                // Out of descriptors, most likely: the closing of others frees some.
+                // Most likely out of file descriptors; closing connections frees some.
                 ntex::time::sleep(Duration::from_millis(100)).await;
                 continue;
             };
             let links = Arc::clone(self);
             ntex::rt::spawn(async move {
-                let proved = handshake::answer(&links.credentials, stream).await;
-                drop(place);
-                links.admit(proved, from).await;
+                let result = handshake::accept(&links.credentials, stream).await;
+                drop(permit);
+                links.admit(result, from).await;
             })
             .detach();
         }
@@ -161,26 +164,26 @@
 
     async fn admit(
         self: Arc<Self>,
-        proved: Result<(Socket, id::Host), LinkError>,
+        result: Result<(Socket, id::Host), LinkError>,
         from: SocketAddr,
     ) {
-        match proved {
+        match result {
             Ok((socket, host)) => {
-                let (link, frames) = self.link();
+                let (link, frames) = self.new_link();
                 let number = link.number;
                 self.open.lock().insert(host.clone(), link);
-                self.carry(socket, host, number, frames).await;
+                self.run_link(socket, host, number, frames).await;
             }
             Err(error) => log::warn!(from:% = from, error:% = error; "stranger refused"),
         }
     }
 
-    fn link(&self) -> (Link, mpsc::Receiver<Vec<u8>>) {
-        let (frames, receiver) = mpsc::channel(BACKLOG);
-        (Link { number: self.next.fetch_add(1, Ordering::Relaxed), frames }, receiver)
+    fn new_link(&self) -> (Link, mpsc::Receiver<Vec<u8>>) {
+        let (frames, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
+        (Link { number: self.next_number.fetch_add(1, Ordering::Relaxed), frames }, receiver)
     }
 
-    async fn call(
+    async fn dial(
         self: Arc<Self>,
         to: id::Host,
         address: SocketAddr,
@@ -188,25 +191,25 @@
         frames: mpsc::Receiver<Vec<u8>>,
     ) {
         log::info!(peer:% = to, address:% = address; "opening a link");
-        match handshake::call(&self.credentials, address, Some(&to)).await {
-            Ok((socket, host)) => self.carry(socket, host, number, frames).await,
+        match handshake::dial(&self.credentials, address, Some(&to)).await {
+            Ok((socket, host)) => self.run_link(socket, host, number, frames).await,
             Err(error) => {
                 log::debug!(peer:% = to, error:% = error; "no link");
-                self.forget(&to, number);
+                self.remove(&to, number);
                 let _ = self.events.send(Event::Unreachable(to)).await;
             }
         }
     }
 
-    fn forget(&self, host: &id::Host, number: u64) {
+    fn remove(&self, host: &id::Host, number: u64) {
         let mut open = self.open.lock();
         if open.get(host).is_some_and(|link| link.number == number) {
             open.remove(host);
         }
     }
 
-    /// Reads and writes one link until either end gives it up.
-    async fn carry(
+    /// Reads and writes one link until either end closes it or it times out.
+    async fn run_link(
         self: Arc<Self>,
         socket: Socket,
         host: id::Host,
@@ -215,56 +218,56 @@
     ) {
         let era = self.era();
         let (mut sink, mut source) = socket.split();
-        let (mut read, mut used, mut pinged) = (Instant::now(), Instant::now(), false);
-        // Still wanted for reading after `frames` closed: the other end may know no newer link.
+        let (mut last_read, mut last_used, mut pinged) = (Instant::now(), Instant::now(), false);
+        // After `frames` closed the link is still read: the other end may not know a newer link.
         let mut writable = true;
         while self.era() == era {
-            let deadline = read + if pinged { SILENT } else { QUIET };
+            let deadline = last_read + if pinged { DEAD_AFTER } else { PING_AFTER };
             tokio::select! {
                 frame = frames.recv(), if writable => match frame {
                     Some(bytes) => {
-                        used = Instant::now();
-                        if !written(&mut sink, Message::binary(bytes)).await {
+                        last_used = Instant::now();
+                        if !send_message(&mut sink, Message::binary(bytes)).await {
                             break;
                         }
                     }
-                    None if self.is_current(&host) => writable = false,
+                    None if self.has_link(&host) => writable = false,
                     None => break,
                 },
                 message = source.next() => match message {
                     Some(Ok(Message::Binary(bytes))) => {
-                        (read, pinged, used) = (Instant::now(), false, Instant::now());
-                        if !self.hand_on(era, &host, &bytes).await {
+                        (last_read, pinged, last_used) = (Instant::now(), false, Instant::now());
+                        if !self.forward(era, &host, &bytes).await {
                             break;
                         }
                     }
                     Some(Ok(Message::Close(_)) | Err(_)) | None => break,
-                    Some(Ok(_)) => (read, pinged) = (Instant::now(), false),
+                    Some(Ok(_)) => (last_read, pinged) = (Instant::now(), false),
                 },
                 () = tokio::time::sleep_until(deadline) => {
-                    // The failure: something between the ends lost track of the connection, and
-                    // whoever waits on it waits for good, while new connections work. No answer to
-                    // a ping within the deadline closes it, and the next frame opens a new one.
-                    if pinged || used.elapsed() >= UNUSED {
+                    // A middlebox may drop the state of the connection, so that nothing arrives on
+                    // it any more although new connections work. A link without an answer to the
+                    // ping is closed, and the next frame opens a new one.
+                    if pinged || last_used.elapsed() >= IDLE_TIMEOUT {
                         break;
                     }
                     pinged = true;
-                    if !written(&mut sink, Message::Ping(Default::default())).await {
+                    if !send_message(&mut sink, Message::Ping(Default::default())).await {
                         break;
                     }
                 }
             }
         }
-        self.forget(&host, number);
-        let _ = timeout(WRITE, sink.close()).await;
+        self.remove(&host, number);
+        let _ = timeout(WRITE_TIMEOUT, sink.close()).await;
     }
 
-    /// Whether a link to this host is known at all.
-    fn is_current(&self, host: &id::Host) -> bool {
+    /// Returns whether there is a link to this host.
+    fn has_link(&self, host: &id::Host) -> bool {
         self.open.lock().contains_key(host)
     }
 
-    async fn hand_on(&self, era: u64, from: &id::Host, bytes: &[u8]) -> bool {
+    async fn forward(&self, era: u64, from: &id::Host, bytes: &[u8]) -> bool {
         match peer::decode(bytes) {
             Ok(frame) => {
                 let event = Event::Frame { era, from: from.clone(), frame };
@@ -278,14 +281,14 @@
     }
 }
 
-async fn written<S>(sink: &mut S, message: Message) -> bool
+async fn send_message<S>(sink: &mut S, message: Message) -> bool
 where
     S: futures_util::Sink<Message> + Unpin,
 {
-    matches!(timeout(WRITE, sink.send(message)).await, Ok(Ok(())))
+    matches!(timeout(WRITE_TIMEOUT, sink.send(message)).await, Ok(Ok(())))
 }
 
-/// Takes a socket that the process has bound already.
+/// Converts a bound socket into an asynchronous listener.
 pub(crate) fn listener(bound: std::net::TcpListener) -> std::io::Result<TcpListener> {
     bound.set_nonblocking(true)?;
     TcpListener::from_std(bound)
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `fireflyhoistd`: one entry host's daemon.
+//! `fireflyhoistd`, the daemon of one entry host.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -6,10 +6,10 @@
 use bpaf::{Args, Bpaf, ParseFailure};
 use fireflyhoist_daemon::{Daemon, Settings};
 
-/// Exit code of a wrong command line or settings file.
+/// Exit code for an invalid command line or settings file.
 const USAGE: u8 = 2;
 
-/// The widest help text in columns.
+/// The maximum width of the help text in columns.
 const HELP_WIDTH: usize = 100;
 
 /// Serves callers on this host until SIGTERM.
@@ -25,7 +25,7 @@
 async fn main() -> ExitCode {
     let flags = match flags().run_inner(Args::current_args()) {
         Ok(flags) => flags,
-        Err(failure) => return explained(&failure),
+        Err(failure) => return print_failure(&failure),
     };
     let settings = match Settings::open(&flags.settings) {
         Ok(settings) => settings,
@@ -47,8 +47,8 @@
     }
 }
 
-/// Prints help, version, completions or what is wrong with the command line.
-fn explained(failure: &ParseFailure) -> ExitCode {
+/// Prints the help, the version, completions or the command line error, and returns the exit code.
+fn print_failure(failure: &ParseFailure) -> ExitCode {
     failure.print_message(HELP_WIDTH);
     match failure {
         ParseFailure::Stderr(_) => ExitCode::from(USAGE),
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process: settings, log, lanes, the server and its drain.
+//! State with the lifetime of the process: settings, log, gates, and the server with its drain.
 
 pub(crate) mod burn;
 pub(crate) mod clock;
@@ -7,8 +7,8 @@
 pub(crate) mod log;
 pub(crate) mod member;
 pub(crate) mod metrics;
+pub(crate) mod reconcile;
 pub(crate) mod settings;
-pub(crate) mod steward;
 pub(crate) mod tickets;
 
 use std::collections::HashMap;
@@ -45,36 +45,36 @@
 use crate::version::{Snapshot, watch};
 use fireflyhoist_gateway::ServiceGate;
 
-/// How often a drain looks whether requests are still in progress.
+/// How often a drain checks whether requests are still in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// How long a drain goes on answering so that its goodbye is out before it stops: two polls of the
-/// membership and the way to each neighbour.
-const GOODBYE: Duration = Duration::from_millis(300);
+/// How long a drain keeps serving so that peers receive the leave announcement before it stops:
+/// two membership polls plus the network delay to each peer.
+const LEAVE_NOTICE: Duration = Duration::from_millis(300);
 
-/// How often lanes look for deadlines that passed; a tenth of the shortest objective in use.
-const LANE_POLL: Duration = Duration::from_millis(10);
+/// How often gates are polled for expired deadlines; a tenth of the shortest objective in use.
+const GATE_POLL: Duration = Duration::from_millis(10);
 
-/// Why a daemon does not start.
+/// The reason why a daemon fails to start.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     #[display("cannot listen on {address} ({reason}); set `listen` to a free address of this host")]
     Listen {
-        /// The address from the settings.
+        /// The configured address.
         address: SocketAddr,
-        /// The operating system's words.
+        /// The operating system's error.
         reason: io::Error,
     },
-    /// The HTTP client cannot be built.
+    /// Building the HTTP client failed.
     #[display("the HTTP client does not start; report this with the log")]
     Client,
-    /// The metrics cannot be set up.
+    /// Setting up the metrics failed.
     #[display("the metrics do not start; report this with the log")]
     Metrics,
 }
 
-/// What the workers of one daemon share.
+/// The state that all workers of one daemon share.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) settings: Settings,
@@ -84,7 +84,7 @@
     pub(crate) control: Control,
     snapshot: RwLock<Option<Arc<Snapshot>>>,
     hosts: RwLock<Arc<Hosts>>,
-    lanes: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
+    gates: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
     pub(crate) limits: Arc<Limits>,
     burn: Arc<Recorder>,
     refused: RwLock<Option<String>>,
@@ -92,7 +92,7 @@
     ready: AtomicBool,
     departures: AtomicU64,
     stopped: AtomicBool,
-    open: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
 impl Process {
@@ -110,80 +110,82 @@
             refused: RwLock::default(),
             snapshot: RwLock::default(),
             hosts: RwLock::default(),
-            lanes: RwLock::default(),
+            gates: RwLock::default(),
             leaving: AtomicBool::new(false),
             ready: AtomicBool::new(false),
             departures: AtomicU64::new(0),
             stopped: AtomicBool::new(false),
-            open: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
         })
     }
 
-    /// The version in force, if any is known yet.
+    /// Returns the version in force, or `None` before the first.
     pub(crate) fn snapshot(&self) -> Option<Arc<Snapshot>> {
         self.snapshot.read().clone()
     }
 
-    /// The version in force, once this process may serve by it.
+    /// Returns the version in force, or `None` until this process is ready to serve.
     pub(crate) fn serving(&self) -> Option<Arc<Snapshot>> {
         self.snapshot().filter(|_| self.ready.load(Ordering::Acquire))
     }
 
-    /// What this process still waits for before it may serve.
+    /// Returns what this process still waits for before it is ready to serve.
     pub(crate) fn standing(&self) -> Standing {
         self.control.view(self.clock.now()).standing
     }
 
-    /// Whether the process has ended its work.
+    /// Returns whether the drain is complete, so that background tasks stop.
     pub(crate) fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Acquire)
     }
 
-    /// The host list as last read.
+    /// Returns the host list that was applied last.
     pub(crate) fn hosts(&self) -> Arc<Hosts> {
         Arc::clone(&self.hosts.read())
     }
 
-    /// The lane of a service of the version in force.
-    pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
-        self.lanes.read().get(service).cloned()
+    /// Returns the gate of a service that the version in force declares.
+    pub(crate) fn gate(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
+        self.gates.read().get(service).cloned()
     }
 
-    /// Where answers and refusals are counted for the report on service-level burn.
+    /// Returns the recorder that counts answers and refusals for the burn rate report.
     pub(crate) fn burn(&self) -> &Arc<Recorder> {
         &self.burn
     }
 
-    /// Takes in a text as the platform serves it; whether it told anything new.
-    pub(crate) fn take_text(&self, body: &[u8]) -> bool {
+    /// Applies a text that the platform published. Returns whether it changed anything.
+    pub(crate) fn apply_published_text(&self, body: &[u8]) -> bool {
         let parsed = Text::parse_bytes(body);
         match (parsed, std::str::from_utf8(body)) {
             (Ok(text), Ok(source)) => {
                 let version = Version::of(text.revision, source);
-                self.take(version, source, text)
+                self.offer(version, source, text)
             }
             (Err(faults), _) => self.refuse_text(faults.to_string()),
             (_, Err(fault)) => self.refuse_text(fault.to_string()),
         }
     }
 
-    /// Takes in a text that a peer has in force.
-    pub(crate) fn take_fetched(&self, version: Version, source: &str) {
+    /// Applies a text that a peer has in force, fetched as `version`.
+    pub(crate) fn apply_peer_text(&self, version: Version, source: &str) {
         match Text::parse(source) {
             Ok(text) if text.revision == version.revision() => {
-                self.take(version, source, text);
+                self.offer(version, source, text);
             }
-            Ok(_) => self.refuse_fetched(version, source, "its revision is not the announced one"),
-            Err(faults) => self.refuse_fetched(version, source, &faults.to_string()),
+            Ok(_) => {
+                self.refuse_peer_text(version, source, "its revision is not the announced one")
+            }
+            Err(faults) => self.refuse_peer_text(version, source, &faults.to_string()),
         }
     }
 
-    fn refuse_fetched(&self, version: Version, source: &str, reason: &str) {
+    fn refuse_peer_text(&self, version: Version, source: &str, reason: &str) {
         self.control.offer(version, source, Err(reason.into()));
         self.refuse_text(format!("a peer runs {version}, which is refused here: {reason}"));
     }
 
-    fn take(&self, version: Version, source: &str, text: Text) -> bool {
+    fn offer(&self, version: Version, source: &str, text: Text) -> bool {
         let known = self.control.versions();
         match self.control.offer(version, source, Ok(())) {
             Verdict::Adopt => {
@@ -213,11 +215,11 @@
         }
     }
 
-    /// Puts a version in force that is newer than the one before.
+    /// Puts a version in force unless the same or a newer one is in force already.
     fn adopt(&self, next: Snapshot) {
         {
             let mut current = self.snapshot.write();
-            // Two offers were decided in one order and may get here in the other.
+            // Two threads may reach this point in another order than their offers were decided.
             if current.as_ref().is_some_and(|now| now.version >= next.version) {
                 return;
             }
@@ -225,36 +227,36 @@
             *current = Some(Arc::new(next.with_listed_targets(&self.hosts())));
         }
         *self.refused.write() = None;
-        self.refresh_lanes();
+        self.refresh_gates();
     }
 
-    /// Notes that the text read last was refused; the one in force stays.
+    /// Records why the text read last was refused; the version in force stays.
     ///
-    /// Returns whether that is news.
+    /// Returns whether the reason differs from the one recorded before.
     pub(crate) fn refuse_text(&self, reason: String) -> bool {
         let mut refused = self.refused.write();
-        // The platform is read again and again; one line a refused text is enough.
-        let news = refused.as_ref() != Some(&reason);
-        if news {
+        // The platform is read repeatedly, so each refused text is logged only once.
+        let changed = refused.as_ref() != Some(&reason);
+        if changed {
             ::log::warn!(reason:% = reason; "text refused");
             *refused = Some(reason);
         }
-        news
+        changed
     }
 
-    /// Why the text read last was refused, if it was.
+    /// Returns why a text was refused, or `None` if none was refused since a version was adopted.
     pub(crate) fn refused(&self) -> Option<String> {
         self.refused.read().clone()
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in flight.
     pub(crate) fn open_requests(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+        self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Takes in a host list, unless a newer one was seen; whether it told anything new.
+    /// Applies a host list unless a newer one was seen. Returns whether it changed anything.
     pub(crate) fn set_hosts(&self, hosts: Hosts) -> bool {
-        self.control.publish(self.clock.now(), &hosts);
+        self.control.apply_host_list(self.clock.now(), &hosts);
         if self.control.is_stale(&hosts) || *self.hosts() == hosts {
             return false;
         }
@@ -263,19 +265,19 @@
             let listed = |snapshot: &Arc<Snapshot>| {
                 Arc::new(Snapshot::clone(snapshot).with_listed_targets(&hosts))
             };
-            let from_list = |snapshot: &&Arc<Snapshot>| {
+            let takes_from_list = |snapshot: &&Arc<Snapshot>| {
                 snapshot.text.services.iter().any(|service| service.targets_from.is_some())
             };
-            if let Some(next) = current.as_ref().filter(from_list).map(listed) {
+            if let Some(next) = current.as_ref().filter(takes_from_list).map(listed) {
                 *current = Some(next);
             }
             *self.hosts.write() = Arc::new(hosts);
         }
-        self.refresh_lanes();
+        self.refresh_gates();
         true
     }
 
-    /// Brings what requests rely on up to date with what membership and versions say.
+    /// Updates the flags and gates that requests read from the state of membership and versions.
     pub(crate) fn refresh(&self) {
         let view = self.control.view(self.clock.now());
         let ready = view.standing == Standing::Ready;
@@ -286,12 +288,12 @@
             ::log::info!(leaving = view.leaving; "leaving");
         }
         if self.departures.swap(view.departures, Ordering::AcqRel) != view.departures {
-            self.refresh_lanes();
+            self.refresh_gates();
         }
     }
 
-    /// Gives every lane the targets that may receive new work.
-    fn refresh_lanes(&self) {
+    /// Updates limits, and every gate's weights, entries and targets that may receive new work.
+    fn refresh_gates(&self) {
         let Some(snapshot) = self.snapshot() else { return };
         let hosts = self.hosts();
         self.limits.set(&snapshot.text, &hosts, &self.settings.host);
@@ -301,54 +303,54 @@
         let own = entries.iter().position(|name| **name == self.settings.host);
         let weights = snapshot.text.workspaces.iter();
         let weights = weights.map(|w| (w.name.clone(), f64::from(w.weight))).collect();
-        let mut lanes = self.lanes.write();
-        lanes.retain(|name, lane| {
+        let mut gates = self.gates.write();
+        gates.retain(|name, gate| {
             let kept = snapshot.text.service(name).is_some();
             if !kept {
-                lane.close();
+                gate.close();
             }
             kept
         });
         self.burn.retain(|name| snapshot.text.service(name).is_some());
         for service in &snapshot.text.services {
             let usable = service.targets.iter().filter(|t| !self.control.is_leaving(&t.host));
-            let lane =
-                lanes.entry(service.name.clone()).or_insert_with(|| ServiceGate::open(self.clock));
+            let gate =
+                gates.entry(service.name.clone()).or_insert_with(|| ServiceGate::open(self.clock));
             let between = Duration::from_millis(service.objective.between_tokens_ms);
-            lane.configure(&weights, between);
-            lane.set_entries(entries.len(), own);
-            lane.set_targets(usable.map(|t| t.name.clone()).collect());
+            gate.configure(&weights, between);
+            gate.set_entries(entries.len(), own);
+            gate.set_targets(usable.map(|t| t.name.clone()).collect());
         }
     }
 
-    fn poll_lanes(&self) {
-        let lanes: Vec<Arc<ServiceGate>> = self.lanes.read().values().cloned().collect();
-        lanes.iter().for_each(|lane| lane.poll());
+    fn poll_gates(&self) {
+        let gates: Vec<Arc<ServiceGate>> = self.gates.read().values().cloned().collect();
+        gates.iter().for_each(|gate| gate.poll());
     }
 
-    /// Whether this host takes no new work.
+    /// Returns whether this host accepts no new work.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Counts a request in progress until the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> Open {
-        self.open.fetch_add(1, Ordering::AcqRel);
-        Open(Arc::clone(self))
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub(crate) fn track_request(self: &Arc<Self>) -> InFlight {
+        self.in_flight.fetch_add(1, Ordering::AcqRel);
+        InFlight(Arc::clone(self))
     }
 }
 
-/// One request in progress; a drain waits for all of them.
+/// A guard that counts one request as in flight; a drain waits until none is left.
 #[derive(Debug)]
-pub(crate) struct Open(Arc<Process>);
+pub(crate) struct InFlight(Arc<Process>);
 
-impl Drop for Open {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::AcqRel);
+        self.0.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// What one worker thread owns.
+/// The shared state and the HTTP client of one worker thread.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub(crate) process: Arc<Process>,
@@ -362,11 +364,11 @@
     http: SocketAddr,
     peer: SocketAddr,
     server: Server,
-    peers: oneshot::Sender<oneshot::Sender<()>>,
+    stop_peers: oneshot::Sender<oneshot::Sender<()>>,
 }
 
 impl Daemon {
-    /// Listens, reads the platform in the background and serves.
+    /// Binds the listeners and starts the server and the background tasks.
     ///
     /// Must be called within an ntex system, such as under `#[ntex::main]`.
     pub async fn bind(settings: Settings) -> Result<Self, StartError> {
@@ -378,40 +380,40 @@
             Ok((listener, local))
         };
         let (listener, http) = listen(settings.listen)?;
-        let (peers, peer) = listen(settings.peer_listen)?;
+        let (peer_listener, peer) = listen(settings.peer_listen)?;
         let metrics = Metrics::open().ok_or(StartError::Metrics)?;
         let process = Process::open(settings, metrics, http, peer);
         let client = crate::connection::client().await.ok_or(StartError::Client)?;
         let worker = Worker { process: Arc::clone(&process), client };
-        let peers = join(&process, peers, peer)
+        let stop_peers = start_peering(&process, peer_listener, peer)
             .map_err(|reason| StartError::Listen { address: peer, reason })?;
         ntex::rt::spawn(watch::run(worker.clone(), watch::Key::Hosts)).detach();
         ntex::rt::spawn(watch::run(worker.clone(), watch::Key::Text)).detach();
         ntex::rt::spawn(load::run(worker.clone())).detach();
-        ntex::rt::spawn(steward::run(worker)).detach();
-        ntex::rt::spawn(tick(Arc::clone(&process))).detach();
+        ntex::rt::spawn(reconcile::run(worker)).detach();
+        ntex::rt::spawn(run_gates(Arc::clone(&process))).detach();
         let server = serve(&process, listener)
             .map_err(|reason| StartError::Listen { address: http, reason })?;
         ::log::info!(http:% = http, peer:% = peer; "listening");
-        Ok(Self { process, http, peer, server, peers })
+        Ok(Self { process, http, peer, server, stop_peers })
     }
 
-    /// Where callers connect.
+    /// Returns the address that callers connect to.
     pub fn http_address(&self) -> SocketAddr {
         self.http
     }
 
-    /// Where other daemons connect.
+    /// Returns the address that other daemons connect to.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Stops listening to peers, so that a replacement may take the address at once.
-    async fn free_peer_address(&mut self) {
+    /// Stops listening for peers, so that a replacement process can bind the address at once.
+    async fn release_peer_address(&mut self) {
         let (confirm, confirmed) = oneshot::channel();
-        let (idle, _) = oneshot::channel();
-        let peers = std::mem::replace(&mut self.peers, idle);
-        if peers.send(confirm).is_ok() {
+        let (unused, _) = oneshot::channel();
+        let stop = std::mem::replace(&mut self.stop_peers, unused);
+        if stop.send(confirm).is_ok() {
             let _ = confirmed.await;
         }
     }
@@ -429,53 +431,55 @@
         self.drain().await;
     }
 
-    /// Stops at once, as a crash would: requests in progress are cut.
+    /// Stops at once, as a crash would: requests in flight are cut off.
     pub async fn kill(self) {
         self.server.stop(false).await;
     }
 
-    /// Takes no new work, finishes every request in progress, then stops.
+    /// Accepts no new work, finishes every request in flight, then stops.
     ///
-    /// The server's own graceful stop cut a streaming response after 0.1 s in a trial, so it runs
-    /// only once nothing is in progress.
+    /// The server's own graceful stop can cut a streaming response after 0.1 s, so it runs only
+    /// once nothing is in flight.
     pub async fn drain(mut self) {
         let process = &self.process;
         process.leaving.store(true, Ordering::Release);
         process.control.leave(process.clock.now());
-        ::log::info!(open = self.process.open.load(Ordering::Acquire); "draining");
-        ntex::time::sleep(GOODBYE).await;
-        while self.process.open.load(Ordering::Acquire) > 0 {
+        ::log::info!(open = self.process.in_flight.load(Ordering::Acquire); "draining");
+        ntex::time::sleep(LEAVE_NOTICE).await;
+        while self.process.in_flight.load(Ordering::Acquire) > 0 {
             ntex::time::sleep(DRAIN_POLL).await;
         }
         self.process.stopped.store(true, Ordering::Release);
-        self.free_peer_address().await;
+        self.release_peer_address().await;
         self.server.stop(true).await;
         ::log::info!("stopped");
     }
 }
 
-/// Begins to listen to peers and to speak with them.
-fn join(
+/// Starts to accept links from peers and to exchange frames with them.
+///
+/// Sending on the returned channel stops the listener, which then confirms on the sender received.
+fn start_peering(
     process: &Arc<Process>,
     listener: TcpListener,
     own: SocketAddr,
 ) -> io::Result<oneshot::Sender<oneshot::Sender<()>>> {
     let settings = &process.settings;
     let credentials = Credentials { host: settings.host.clone(), key: settings.peer_key.clone() };
-    let (sender, events) = mpsc::channel(fleet::BACKLOG);
+    let (sender, events) = mpsc::channel(fleet::MAX_PENDING_EVENTS);
     let links = Links::open(credentials, sender);
     let listener = peer::listener(listener)?;
     let (stop, stopped) = oneshot::channel();
     ntex::rt::spawn(Arc::clone(&links).listen(listener, stopped)).detach();
-    ntex::rt::spawn(fleet::seek(Arc::clone(process), Arc::clone(&links), own)).detach();
+    ntex::rt::spawn(fleet::discover(Arc::clone(process), Arc::clone(&links), own)).detach();
     ntex::rt::spawn(fleet::run(Arc::clone(process), links, events)).detach();
     Ok(stop)
 }
 
-async fn tick(process: Arc<Process>) {
+async fn run_gates(process: Arc<Process>) {
     while !process.is_stopped() {
-        ntex::time::sleep(LANE_POLL).await;
-        process.poll_lanes();
+        ntex::time::sleep(GATE_POLL).await;
+        process.poll_gates();
     }
 }
 
@@ -493,7 +497,7 @@
             })
             .configure(request::routes)
     })
-    .config(crate::connection::intake::limits())
+    .config(crate::connection::server::config())
     .workers(workers)
     .disable_signals()
     .listen(listener)?
--- a/crates/daemon/src/version/watch.rs
+++ b/crates/daemon/src/version/watch.rs
@@ -1,4 +1,5 @@
-//! Asks the platform for the text and the host list: few processes watch, the others poll slowly.
+//! Reads the text and the host list from the platform: a few watchers long-poll, the other
+//! processes poll slowly.
 
 use std::time::Duration;
 
@@ -9,74 +10,74 @@
 
 use crate::process::Worker;
 
-/// How long one read may take before it counts as failed.
+/// The timeout of one read, in addition to its long-poll time.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a watch waits at the platform for a change; each counts as a call.
-const WAIT: Duration = Duration::from_secs(25);
+/// How long a watcher's read waits at the platform for a change; each read counts as a call.
+const LONG_POLL: Duration = Duration::from_secs(25);
 
-/// How long to wait after a read that failed or told nothing new, twice as long each time.
+/// The initial backoff after a read that failed or changed nothing; it doubles each time.
 const BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest such wait: a platform that is back is noticed well within the 11 s that operators
+/// The maximum backoff; a recovered platform must be noticed well within the 11 s that operators
 /// are promised.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How often a process that does not watch looks whether it should.
-const LOOK: Duration = Duration::from_millis(500);
+/// How often a process that is no watcher checks whether it has become one.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The largest value that the platform holds.
+/// The maximum size of a value at the platform, in bytes.
 const MAX_VALUE: usize = 1 << 20;
 
-/// What the platform publishes.
+/// The key of a value that the platform publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Key {
     Text,
     Hosts,
 }
 
-/// What one read told.
+/// The result of one read.
 #[derive(Debug)]
 enum Answer {
-    /// Another value than before.
-    New { sequence: Option<u64>, body: Vec<u8> },
-    /// The same as before, or that nothing is published yet.
-    Same { sequence: Option<u64> },
-    /// Nothing: it cannot be reached or is broken.
+    /// The value differs from the one read before.
+    Changed { sequence: Option<u64>, body: Vec<u8> },
+    /// The value is the same as before, or nothing is published yet.
+    Unchanged { sequence: Option<u64> },
+    /// The platform cannot be reached or its answer is invalid.
     Failed,
 }
 
-/// Reads one value until the process stops.
+/// Reads one value repeatedly until the process stops.
 pub(crate) async fn run(worker: Worker, key: Key) {
     let mut after = None;
     let mut backoff = BACKOFF;
     while !worker.process.is_stopped() {
         let watching = worker.process.control.is_watcher();
-        let wait = if watching && after.is_some() { WAIT } else { Duration::ZERO };
-        let learnt = match read(&worker, key, after, wait).await {
-            Answer::New { sequence, body } => {
+        let wait = if watching && after.is_some() { LONG_POLL } else { Duration::ZERO };
+        let changed = match fetch(&worker, key, after, wait).await {
+            Answer::Changed { sequence, body } => {
                 after = sequence;
-                take(&worker, key, &body)
+                apply(&worker, key, &body)
             }
-            Answer::Same { sequence } => {
+            Answer::Unchanged { sequence } => {
                 let changed = sequence != after;
                 after = sequence;
-                answered(&worker, key, Contact::Answered);
+                record_contact(&worker, key, Contact::Answered);
                 changed || !wait.is_zero()
             }
             Answer::Failed => {
-                answered(&worker, key, Contact::Silent);
+                record_contact(&worker, key, Contact::Silent);
                 false
             }
         };
-        // The failure: a stale platform differs from what the watch asks after and answers it at
-        // once, again and again. Whatever tells nothing new is asked ever more slowly.
-        backoff = if learnt { BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
+        // A stale platform has another sequence number than the one asked after, so it answers
+        // each long poll at once. Backing off whenever nothing changed prevents a busy loop.
+        backoff = if changed { BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
         pause(&worker, watching, backoff).await;
     }
 }
 
-/// Waits between reads: briefly as a watcher, else for a share of the fleet's rate.
+/// Waits between reads: for the jittered backoff, and if not a watcher also for the poll interval.
 async fn pause(worker: &Worker, watching: bool, backoff: Duration) {
     let jitter = backoff.mul_f64(rand::random::<f64>());
     ntex::time::sleep(backoff / 2 + jitter).await;
@@ -85,25 +86,25 @@
     }
     let mut left = worker.process.control.poll_interval();
     while !left.is_zero() && !worker.process.control.is_watcher() && !worker.process.is_stopped() {
-        let nap = left.min(LOOK);
-        ntex::time::sleep(nap).await;
-        left -= nap;
+        let step = left.min(ROLE_CHECK_INTERVAL);
+        ntex::time::sleep(step).await;
+        left -= step;
     }
 }
 
-fn answered(worker: &Worker, key: Key, asked: Contact) {
+fn record_contact(worker: &Worker, key: Key, contact: Contact) {
     if key == Key::Text {
-        worker.process.control.platform(asked);
+        worker.process.control.set_platform_contact(contact);
     }
 }
 
-/// Hands a value on; whether it told anything new.
-fn take(worker: &Worker, key: Key, body: &[u8]) -> bool {
+/// Applies a value. Returns whether it changed anything.
+fn apply(worker: &Worker, key: Key, body: &[u8]) -> bool {
     match key {
         Key::Text => {
-            let learnt = worker.process.take_text(body);
-            answered(worker, key, Contact::Answered);
-            learnt
+            let changed = worker.process.apply_published_text(body);
+            record_contact(worker, key, Contact::Answered);
+            changed
         }
         Key::Hosts => match serde_json::from_slice::<Hosts>(body) {
             Ok(hosts) => worker.process.set_hosts(hosts),
@@ -115,7 +116,7 @@
     }
 }
 
-async fn read(worker: &Worker, key: Key, after: Option<u64>, wait: Duration) -> Answer {
+async fn fetch(worker: &Worker, key: Key, after: Option<u64>, wait: Duration) -> Answer {
     let path = match key {
         Key::Text => "text",
         Key::Hosts => "hosts",
@@ -136,11 +137,11 @@
     let sequence = header.and_then(|value| value.to_str().ok()).and_then(|text| text.parse().ok());
     match response.status() {
         StatusCode::OK => match response.body().limit(MAX_VALUE + 1).await {
-            Ok(body) => Answer::New { sequence, body: body.to_vec() },
+            Ok(body) => Answer::Changed { sequence, body: body.to_vec() },
             Err(_) => Answer::Failed,
         },
-        StatusCode::NOT_MODIFIED => Answer::Same { sequence: after },
-        StatusCode::NOT_FOUND => Answer::Same { sequence },
+        StatusCode::NOT_MODIFIED => Answer::Unchanged { sequence: after },
+        StatusCode::NOT_FOUND => Answer::Unchanged { sequence },
         _ => Answer::Failed,
     }
 }
