--- a/crates/daemon/src/request/auth.rs
+++ b/crates/daemon/src/request/auth.rs
@@ -1,4 +1,4 @@
-//! Whose request it is.
+//! Authenticates requests and determines their workspace.
 
 use std::fmt::Write;
 
@@ -10,18 +10,18 @@
 use ntex::web::HttpRequest;
 use sha2::{Digest, Sha256};
 
-/// The workspace of callers that name none.
+/// The workspace of requests that do not name one.
 const DEFAULT_WORKSPACE: &str = "default";
 
 const SCHEME: &str = "Bearer ";
 
-/// Why a request belongs to nobody.
+/// Why a request could not be authenticated.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub(crate) enum AuthError {
-    /// The name of the workspace is no name.
+    /// The name of the workspace is not valid.
     #[display("{_0}")]
     Name(id::NameError),
-    /// The key is nobody's.
+    /// No workspace has this key.
     #[display("no workspace has this key; send `Authorization: Bearer KEY` with your workspace's")]
     Key,
     /// The workspace has a key and the request carries none.
@@ -30,7 +30,7 @@
         /// The workspace named.
         workspace: id::Workspace,
     },
-    /// The key is another workspace's than the one named.
+    /// The key belongs to another workspace than the one named.
     #[display("the key is not that of {workspace}; leave out the workspace or use its own key")]
     Foreign {
         /// The workspace named.
@@ -38,7 +38,7 @@
     },
 }
 
-/// The workspace of a request, by its key where it has one, else by its name.
+/// Returns the workspace of a request: the owner of its key, or without a key, the named one.
 pub(crate) fn workspace(text: &Text, http: &HttpRequest) -> Result<id::Workspace, AuthError> {
     let named = named(http)?;
     let Some(key) = bearer(http) else {
@@ -49,7 +49,7 @@
             false => Ok(workspace),
         };
     };
-    // The digest, not the key, is compared, so the time it takes tells nothing about the key.
+    // Comparing digests instead of keys avoids a timing side channel on the key.
     let digest = digest(key);
     let owner = text.workspaces.iter().find(|w| w.key_sha256.as_deref() == Some(&digest));
     let owner = owner.ok_or(AuthError::Key)?.name.clone();
--- a/crates/daemon/src/request/body.rs
+++ b/crates/daemon/src/request/body.rs
@@ -1,4 +1,4 @@
-//! A response body that counts as a request in progress until its last byte is on its way.
+//! A response body that counts as a request in flight until its last chunk is handed to the server.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 
 use crate::process::Open;
 
-/// A stream of chunks that keeps a drain waiting while it lives.
+/// A stream of chunks; a drain waits until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Body<S> {
     chunks: S,
--- a/crates/daemon/src/request/burn.rs
+++ b/crates/daemon/src/request/burn.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/burn`: service-level burn of what callers of this host received.
+//! `GET /v1/burn`: burn rates of the service-level objectives, as callers of this host see them.
 
 use fireflyhoist_wire::status::{Burn, ServiceBurn};
 use ntex::web::{self, HttpResponse};
--- a/crates/daemon/src/request/ejected.rs
+++ b/crates/daemon/src/request/ejected.rs
@@ -1,10 +1,10 @@
-//! Which targets a status names as out of use by this host's own measurements.
+//! Adds this host's outlier ejections to a status.
 
 use fireflyhoist_wire::status::Status;
 
 use crate::process::Process;
 
-/// Gives the reason for each target that is ejected here, unless one is known already.
+/// Sets the reason for each target that this host has ejected, unless one is set already.
 pub(crate) fn mark(process: &Process, status: &mut Status) {
     for target in status.targets.iter_mut().filter(|target| target.unused.is_none()) {
         let lane = process.lane(&target.service);
--- a/crates/daemon/src/request/entries.rs
+++ b/crates/daemon/src/request/entries.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entries`: which addresses a caller should use.
+//! `GET /v1/entries`: the entry addresses that a caller should use, in order of preference.
 
 use fireflyhoist_policy::member::Record;
 use fireflyhoist_policy::rendezvous;
@@ -8,7 +8,7 @@
 use crate::process::{Process, Worker};
 use crate::request::refuse;
 
-/// How long a caller may keep the list.
+/// How long a caller may cache the list, in milliseconds.
 const TTL_MS: u64 = 5_000;
 
 pub(crate) async fn get(worker: web::types::State<Worker>, request: HttpRequest) -> HttpResponse {
@@ -18,10 +18,11 @@
     }
 }
 
-/// Members that are ready and leaving by no source, ranked for one workspace.
+/// Returns the members that are ready and that no source reports as leaving, ranked for one
+/// workspace.
 ///
-/// Ranking by hash makes one workspace's requests meet in few queues, where they can be ordered
-/// fairly, and keeps them there when other hosts come and go.
+/// Rendezvous hashing concentrates the requests of a workspace in few queues, where they can be
+/// ordered fairly, and keeps them there when other hosts join or leave.
 pub(crate) fn list(process: &Process, workspace: &str) -> Entries {
     let own = &process.settings.host;
     let mut members = process.control.usable();
--- a/crates/daemon/src/request/status.rs
+++ b/crates/daemon/src/request/status.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/status`: this host and the fleet as it sees it.
+//! `GET /v1/status`: the state of this host and its view of the fleet.
 
 use fireflyhoist_policy::member::{Record, Status as Seen};
 use fireflyhoist_text::{Service, Target as Declared, Version};
@@ -34,7 +34,7 @@
     InForce { revision: version.revision(), version: version.to_smolstr() }
 }
 
-/// The entry hosts that this one knows, from the published list or from peers.
+/// Returns the entry hosts known from the published list or from peers.
 fn members(process: &Process) -> Vec<Member> {
     let own = &process.settings.host;
     let member = |record: Record| {
--- a/crates/daemon/src/request/version.rs
+++ b/crates/daemon/src/request/version.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/version`: what is in force here, in few bytes.
+//! `GET /v1/version`: the configuration version in force on this host, as a short response.
 
 use fireflyhoist_wire::status::{Brief, InForce};
 use ntex::web::{self, HttpResponse};
