--- a/crates/daemon/src/request/plain/ticketed.rs
+++ b/crates/daemon/src/request/plain/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: run once, by the issuer of their ticket.
+//! Calls that are not idempotent: run at most once, by the issuer of their ticket.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -21,16 +21,16 @@
 use crate::process::tickets::Kept;
 use crate::process::{Open, Worker};
 use crate::request::plain::message::{BodyError, Message, Upload, end_to_end, patience};
-use crate::request::plain::{MAX_KEPT, address, ask, forward};
+use crate::request::plain::{MAX_BUFFERED, address, admission, forward};
 use crate::request::{entries, refuse};
 
-/// Targets that are tried for a call as long as none could be connected.
+/// Targets that are tried for a call while no connection can be opened.
 const MAX_CONNECTS: u32 = 3;
 
-/// The largest reply that is taken from a target.
+/// The largest reply that is accepted from a target, in bytes.
 const MAX_REPLY: usize = 8 << 20;
 
-/// `POST /v1/tickets`.
+/// `POST /v1/tickets`: issues a ticket for one call to a plain service.
 pub(crate) async fn issue(
     worker: web::types::State<Worker>,
     http: HttpRequest,
@@ -57,7 +57,7 @@
     })
 }
 
-/// A call with a ticket, at any entry.
+/// Handles a call with a ticket: runs it here if this process issued the ticket, else forwards it.
 pub(crate) async fn call(
     worker: &Worker,
     service: &Service,
@@ -73,13 +73,13 @@
     };
     let body = match upload.read().await {
         Ok(body) => body,
-        Err(BodyError::TooLarge) => return refuse::too_large(MAX_KEPT as u64),
+        Err(BodyError::TooLarge) => return refuse::too_large(MAX_BUFFERED as u64),
         Err(BodyError::Broken) => return refuse::bad_request("bad-body", "send the whole body"),
     };
     let tickets = &worker.process.tickets;
     if !tickets.issued(&ticket) {
-        // A ticket of an earlier run of this host, or one passed on to a host that does not know
-        // it: what became of its call is forgotten, so nobody may run it.
+        // The ticket is of an earlier run of this host, or was forwarded to a host that did not
+        // issue it. The outcome of its call is lost, so the call must not run.
         if tickets.is_here(&ticket) || message.forwarded() {
             return refuse::respond(&refuse::issuer_gone());
         }
@@ -108,12 +108,12 @@
             return refuse::respond(&refuse::already_ran(status));
         }
         Claim::Ran(Ending::Replied { status, reply: Some(kept) }) => return replay(status, kept),
-        Claim::Mismatch => return refuse::respond(&refuse::crossed_ticket()),
+        Claim::Mismatch => return refuse::respond(&refuse::mismatched_ticket()),
         Claim::Expired => return refuse::respond(&refuse::expired_ticket()),
         Claim::Full => return refuse::respond(&refuse::ledger_full()),
     }
-    // Guards against a run whose end nobody notes: a handler is dropped when its caller
-    // disconnects, and the next repeat would find the ticket running for ever.
+    // The call runs in a task of its own: a handler is dropped when its caller disconnects, the
+    // outcome would never be recorded, and each retry would find the ticket still running.
     let (sender, receiver) = oneshot::channel();
     let run = Run { worker: worker.clone(), service: service.clone(), message, ticket, body };
     ntex::rt::spawn(async move {
@@ -128,7 +128,7 @@
     }
 }
 
-/// Whatever makes one call another one than the next.
+/// Hashes the parts that identify a call: method, path and body.
 fn digest(message: &Message, body: &Bytes) -> u64 {
     let mut hasher = DefaultHasher::new();
     (message.method.as_str(), &message.path, &body[..]).hash(&mut hasher);
@@ -144,7 +144,7 @@
     response.header(REPLAYED_HEADER, "true").body(kept.body)
 }
 
-/// A reply, read whole.
+/// A reply that was read completely.
 struct Reply {
     status: StatusCode,
     headers: ntex::http::HeaderMap,
@@ -173,7 +173,7 @@
     }
 }
 
-/// The one run of a claimed call.
+/// The only run of a claimed call.
 struct Run {
     worker: Worker,
     service: Service,
@@ -208,18 +208,19 @@
         let lane = worker.process.lane(&service.name);
         let lane = lane.ok_or_else(|| refuse::failed(Ran::No))?;
         let watch = worker.process.burn().watch(service);
-        let mut ask = ask(worker, service, message);
+        let mut admission = admission(worker, service, message);
         for _ in 0..MAX_CONNECTS {
-            let admitted = lane.admit(ask.clone()).await;
+            let admitted = lane.admit(admission.clone()).await;
             let pass = admitted.map_err(|refusal| refuse::refusal(refusal, Ran::No))?;
-            ask.avoid = Some(pass.target().clone());
-            ask.retry = true;
+            admission.avoid = Some(pass.target().clone());
+            admission.retry = true;
             let Some(address) = address(service, pass.target()) else { continue };
-            // Guards against a second write: a pooled connection may die between two calls, which
-            // looks the same as dying after it carried this one. A connection of its own leaves
-            // one case in which nothing was written, and only then is another target tried.
+            // A pooled connection that closes between two calls cannot be told from one that closes
+            // after it carried this call, and a retry could then send the call twice. With a new
+            // connection, a failed connect is the one case in which nothing was written, and only
+            // then is another target tried.
             let request = fresh(&worker.client, message.method.clone(), address, &message.path);
-            let sent = message.dress(request).send_body(body.clone());
+            let sent = message.add_headers(request).send_body(body.clone());
             match timeout(patience(service), sent).await {
                 Ok(Err(error)) if unwritten(&error) => pass.finish(Outcome::Failed),
                 Ok(Ok(response)) => {
--- a/crates/daemon/src/request/plain/forward.rs
+++ b/crates/daemon/src/request/plain/forward.rs
@@ -1,4 +1,4 @@
-//! Passing a call on to the issuer of its ticket: one hop, marked, and never twice.
+//! Forwards a call to the issuer of its ticket: once, over one hop, marked by a header.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,19 +17,20 @@
 use crate::request::plain::message::{Message, end_to_end, patience};
 use crate::request::refuse;
 
-/// How long an issuer may take to say that it is alive; a hundred times what it takes.
+/// Timeout of a liveness check of the issuer; a hundred times its usual duration.
 const ALIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often it is asked while it has not replied.
+/// Interval between liveness checks while the reply is outstanding.
 const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time for the issuer's own refusal to arrive, after the patience that it grants its target.
+/// Time for the issuer's own error response to arrive after its target has timed out.
 const MARGIN: Duration = Duration::from_secs(1);
 
-/// The largest reply that is passed back.
+/// The largest reply that is returned to the caller, in bytes.
 const MAX_REPLY: usize = 8 << 20;
 
-/// Hands the call to the issuer; `ran: unknown` at once where that is gone or does not answer.
+/// Forwards the call to the issuer; responds with `ran: unknown` as soon as the issuer is gone or
+/// fails a liveness check.
 pub(crate) async fn call(
     worker: &Worker,
     service: &Service,
@@ -42,13 +43,13 @@
     let Some(address) = issuer.and_then(|host| host.entry).map(|entry| entry.http) else {
         return refuse::respond(&refuse::issuer_gone());
     };
-    let passed = passed(worker, message, address, body);
-    let passed = timeout(patience(service) + MARGIN, passed);
+    let sent = sent(worker, message, address, body);
+    let sent = timeout(patience(service) + MARGIN, sent);
     tokio::select! {
-        reply = passed => reply.ok().flatten(),
-        // Guards against an issuer that is paused: its kernel takes the connection and the call,
-        // and nothing ever comes back. Whether it runs the call when it wakes, nobody can tell.
-        () = silenced(worker, address) => None,
+        reply = sent => reply.ok().flatten(),
+        // The kernel of a paused issuer accepts the connection and the call, and no reply arrives.
+        // Whether the issuer runs the call once it resumes is unknown.
+        () = unresponsive(worker, address) => None,
     }
     .unwrap_or_else(|| {
         log::warn!(request:% = message.request, issuer:% = ticket.issuer; "issuer gone");
@@ -56,7 +57,7 @@
     })
 }
 
-async fn passed(
+async fn sent(
     worker: &Worker,
     message: &Message,
     address: SocketAddr,
@@ -88,11 +89,11 @@
     Some(reply.body(body))
 }
 
-/// Returns once the issuer does not say in time that it is alive.
-async fn silenced(worker: &Worker, address: SocketAddr) {
+/// Returns once a liveness check of the issuer fails or times out.
+async fn unresponsive(worker: &Worker, address: SocketAddr) {
     loop {
-        let asked = fresh(&worker.client, Method::GET, address, "/healthz").send();
-        match timeout(ALIVE_TIMEOUT, asked).await {
+        let check = fresh(&worker.client, Method::GET, address, "/healthz").send();
+        match timeout(ALIVE_TIMEOUT, check).await {
             Ok(Ok(_)) => sleep(ALIVE_INTERVAL).await,
             Ok(Err(_)) | Err(()) => return,
         }
--- a/crates/daemon/src/request/plain/repeatable.rs
+++ b/crates/daemon/src/request/plain/idempotent.rs
@@ -1,4 +1,4 @@
-//! Calls that may run more than once.
+//! Idempotent calls, which may run more than once.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -22,19 +22,19 @@
 use crate::process::{Open, Worker};
 use crate::request::body::Body;
 use crate::request::plain::message::{Message, Upload, end_to_end, patience};
-use crate::request::plain::{MAX_BODY, address, ask};
+use crate::request::plain::{MAX_BODY, address, admission};
 use crate::request::refuse;
 use fireflyhoist_gateway::Pass;
 
-/// Tries in all; the gate's retry budget bounds them further when many fail at once.
-const MAX_TRIES: u32 = 3;
+/// Attempts per call; the gate's retry budget limits retries further when many calls fail at once.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// A try is given up after so many of the service's objective for a reply, and another target
-/// asked: a lookup whose connection went silent would else hang its page.
+/// The timeout of one attempt, in multiples of the service's objective for a reply. Another target is
+/// tried after it; otherwise a lookup whose connection went silent would block its page.
 const SLOW_OBJECTIVES: u32 = 10;
 
-/// Bounds of the above.
-const SLOW: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(60));
+/// Bounds of the timeout of one attempt.
+const SLOW_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(60));
 
 pub(crate) async fn call(
     worker: &Worker,
@@ -44,13 +44,13 @@
     open: Rc<Open>,
 ) -> HttpResponse {
     match upload {
-        Upload::Kept(body) => kept(worker, service, &message, body, open).await,
-        Upload::Arriving(payload) => streamed(worker, service, message, payload, open).await,
+        Upload::Buffered(body) => buffered(worker, service, &message, body, open).await,
+        Upload::Streaming(payload) => streamed(worker, service, message, payload, open).await,
     }
 }
 
-/// Sends a call whose body is kept, again where it fails before any byte of a reply.
-async fn kept(
+/// Sends a call whose body is buffered; retries it where it fails before the first byte of a reply.
+async fn buffered(
     worker: &Worker,
     service: &Service,
     message: &Message,
@@ -61,10 +61,10 @@
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let watch = worker.process.burn().watch(service);
-    let mut ask = ask(worker, service, message);
+    let mut admission = admission(worker, service, message);
     let mut ran = Ran::No;
-    for attempt in 1..=MAX_TRIES {
-        let pass = match lane.admit(ask.clone()).await {
+    for attempt in 1..=MAX_ATTEMPTS {
+        let pass = match lane.admit(admission.clone()).await {
             Ok(pass) => pass,
             Err(refusal) => {
                 watch.refused();
@@ -72,8 +72,8 @@
             }
         };
         let target = pass.target().clone();
-        ask.avoid = Some(target.clone());
-        ask.retry = true;
+        admission.avoid = Some(target.clone());
+        admission.retry = true;
         match try_once(worker, service, message, &body, attempt, &target).await {
             Ok(response) => {
                 watch.answered();
@@ -109,19 +109,21 @@
             let url = format!("http://{address}{}", message.path);
             worker.client.request(message.method.clone(), url)
         }
-        // The pool may hold more connections that went silent, or that close as they are used.
+        // A retry opens a new connection: the pool may hold more connections that went silent, or
+        // that close on use.
         _ => fresh(&worker.client, message.method.clone(), address, &message.path),
     };
     let objective = Duration::from_millis(service.objective.first_token_ms);
-    let slow = (objective * SLOW_OBJECTIVES).clamp(SLOW.0, SLOW.1).min(patience(service));
-    match timeout(slow, message.dress(request).send_body(body.clone())).await {
+    let slow =
+        (objective * SLOW_OBJECTIVES).clamp(SLOW_BOUNDS.0, SLOW_BOUNDS.1).min(patience(service));
+    match timeout(slow, message.add_headers(request).send_body(body.clone())).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) if unwritten(&error) => Err(Ran::No),
         Ok(Err(_)) | Err(()) => Err(Ran::Unknown),
     }
 }
 
-/// Sends a call whose body is too large to keep, as it arrives; it cannot be sent again.
+/// Streams a call whose body is too large to buffer; it cannot be retried.
 async fn streamed(
     worker: &Worker,
     service: &Service,
@@ -133,7 +135,7 @@
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let watch = worker.process.burn().watch(service);
-    let pass = match lane.admit(ask(worker, service, &message)).await {
+    let pass = match lane.admit(admission(worker, service, &message)).await {
         Ok(pass) => pass,
         Err(refusal) => {
             watch.refused();
@@ -145,7 +147,7 @@
     };
     let request = fresh(&worker.client, message.method.clone(), address, &message.path);
     let body = Bounded { payload: payload.into_inner(), left: MAX_BODY };
-    match message.dress(request).send_stream(body).await {
+    match message.add_headers(request).send_stream(body).await {
         Ok(response) => {
             watch.answered();
             reply(&message.method, response, pass, open)
@@ -161,7 +163,7 @@
     }
 }
 
-/// Passes a target's reply on as it arrives.
+/// Streams a target's reply to the caller.
 fn reply(method: &Method, response: ClientResponse, pass: Pass, open: Rc<Open>) -> HttpResponse {
     pass.finish(Outcome::Whole);
     let mut built = HttpResponse::build(response.status());
@@ -184,7 +186,7 @@
     Broken,
 }
 
-/// A body on its way through, which may not exceed a bound.
+/// A streamed body that fails once it exceeds a size limit.
 struct Bounded {
     payload: Payload,
     left: u64,
--- a/crates/daemon/src/request/plain/message.rs
+++ b/crates/daemon/src/request/plain/message.rs
@@ -1,4 +1,4 @@
-//! A plain call without what belongs to one hop only.
+//! A plain call without its hop-by-hop headers, and its body.
 
 use std::time::Duration;
 
@@ -16,16 +16,16 @@
 use ntex::util::{Bytes, BytesMut};
 use ntex::web::{HttpRequest, types};
 
-use crate::request::plain::{MAX_BODY, MAX_KEPT};
+use crate::request::plain::{MAX_BODY, MAX_BUFFERED};
 
-/// Headers of one hop (RFC 9110, section 7.6.1), beside those that `Connection` names.
-const HOP: [HeaderName; 6] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, EXPECT];
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), besides those that `Connection` names.
+const HOP_BY_HOP: [HeaderName; 6] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, EXPECT];
 
-/// The same, for names that the library has no constant for.
-const HOP_NAMES: [&str; 4] =
+/// Hop-by-hop headers that the library has no constant for.
+const HOP_BY_HOP_NAMES: [&str; 4] =
     ["keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization"];
 
-/// What of a call goes to a target.
+/// The parts of a call that are sent to a target.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
     pub(crate) request: id::Request,
@@ -42,13 +42,13 @@
 /// The body of a call.
 #[derive(Debug)]
 pub(crate) enum Upload {
-    /// Small enough to keep, and read whole.
-    Kept(Bytes),
-    /// To be read as it arrives.
-    Arriving(types::Payload),
+    /// Small enough to buffer, and read completely.
+    Buffered(Bytes),
+    /// Streamed as it arrives.
+    Streaming(types::Payload),
 }
 
-/// Why a body cannot be taken.
+/// Why a body is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyError {
     TooLarge,
@@ -80,13 +80,13 @@
         self.headers.get(TICKET_HEADER)?.to_str().ok()
     }
 
-    /// Whether another entry passed the call on.
+    /// Whether another entry forwarded the call.
     pub(crate) fn forwarded(&self) -> bool {
         self.headers.contains_key(FORWARDED_HEADER)
     }
 
-    /// Gives a request for a target its headers. The workspace's key stays here.
-    pub(crate) fn dress(&self, mut request: ClientRequest) -> ClientRequest {
+    /// Adds the headers to a request for a target, without the workspace's key.
+    pub(crate) fn add_headers(&self, mut request: ClientRequest) -> ClientRequest {
         for (name, value) in &self.headers {
             if name.as_str() != FORWARDED_HEADER {
                 request.headers_mut().append(name.clone(), value.clone());
@@ -98,13 +98,13 @@
     }
 }
 
-/// How long a caller may be kept waiting for the reply's first byte.
+/// Returns the timeout for the reply's first byte.
 pub(crate) fn patience(service: &Service) -> Duration {
     Duration::from_millis(service.patience_ms)
 }
 
-/// Headers without those of one hop, the length, which the client writes itself, and the
-/// workspace's key.
+/// Returns the headers without hop-by-hop headers, `Host`, the length, which the client writes
+/// itself, and the workspace's key.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
@@ -114,7 +114,7 @@
         .collect();
     let mut kept = HeaderMap::new();
     for (name, value) in headers {
-        let hop = HOP.contains(name) || HOP_NAMES.contains(&name.as_str());
+        let hop = HOP_BY_HOP.contains(name) || HOP_BY_HOP_NAMES.contains(&name.as_str());
         let own = [HOST, CONTENT_LENGTH, AUTHORIZATION].contains(name);
         if !hop && !own && !named.iter().any(|other| other == name.as_str()) {
             kept.append(name.clone(), value.clone());
@@ -124,34 +124,34 @@
 }
 
 impl Upload {
-    /// Reads the body of a call, if it is announced to be small or absent.
+    /// Reads the body of a call if its declared length is small or it has none.
     pub(crate) async fn open(
         http: &HttpRequest,
         payload: types::Payload,
     ) -> Result<Self, BodyError> {
         let length = http.headers().get(CONTENT_LENGTH);
         let length = length.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-        let arriving = match length {
+        let streaming = match length {
             Some(length) if length > MAX_BODY => return Err(BodyError::TooLarge),
-            Some(length) => length > MAX_KEPT as u64,
+            Some(length) => length > MAX_BUFFERED as u64,
             None => http.headers().contains_key(TRANSFER_ENCODING),
         };
-        match arriving {
-            true => Ok(Self::Arriving(payload)),
-            false => Self::Arriving(payload).read().await.map(Self::Kept),
+        match streaming {
+            true => Ok(Self::Streaming(payload)),
+            false => Self::Streaming(payload).read().await.map(Self::Buffered),
         }
     }
 
-    /// The whole body, where it may be kept.
+    /// Reads the whole body; fails if it is too large to buffer.
     pub(crate) async fn read(self) -> Result<Bytes, BodyError> {
         let mut payload = match self {
-            Self::Kept(body) => return Ok(body),
-            Self::Arriving(payload) => payload,
+            Self::Buffered(body) => return Ok(body),
+            Self::Streaming(payload) => payload,
         };
         let mut body = BytesMut::new();
         while let Some(bytes) = payload.recv().await {
             let bytes = bytes.map_err(|_| BodyError::Broken)?;
-            if body.len() + bytes.len() > MAX_KEPT {
+            if body.len() + bytes.len() > MAX_BUFFERED {
                 return Err(BodyError::TooLarge);
             }
             body.extend_from_slice(&bytes);
--- a/crates/daemon/src/request/plain/mod.rs
+++ b/crates/daemon/src/request/plain/mod.rs
@@ -1,12 +1,12 @@
 //! `/s/NAME/...`: calls to plain services.
 //!
-//! Calls that may be repeated are streamed both ways and tried again before any byte of a reply;
-//! those that may not are run by the issuer of their ticket, once.
+//! Idempotent calls are streamed both ways and retried until the first byte of a reply; other calls
+//! are run at most once, by the issuer of their ticket.
 
+mod at_most_once;
 mod forward;
+mod idempotent;
 mod message;
-mod repeatable;
-mod ticketed;
 
 use std::rc::Rc;
 
@@ -21,13 +21,14 @@
 use crate::request::plain::message::{BodyError, Message, Upload};
 use crate::request::{entries, refuse};
 
-pub(crate) use ticketed::issue;
+pub(crate) use at_most_once::issue;
 
-/// The largest body of a call, in bytes; larger uploads belong into a store, not through an entry.
+/// The largest body of a call, in bytes; larger uploads belong in an object store.
 const MAX_BODY: u64 = 16 << 20;
 
-/// The largest body that is kept so that the call can be sent again, or by a task of its own.
-const MAX_KEPT: usize = 1 << 20;
+/// The largest body, in bytes, that is buffered so that the call can be retried or sent by a task
+/// of its own.
+const MAX_BUFFERED: usize = 1 << 20;
 
 pub(crate) async fn call(
     worker: web::types::State<Worker>,
@@ -36,8 +37,8 @@
     payload: web::types::Payload,
 ) -> HttpResponse {
     let open = Rc::new(worker.process.enter());
-    // Guards against refusals that nobody reads: a response to a body that is still unread closes
-    // the connection, and its caller sees a failed write instead of the remedy.
+    // Small bodies are read first: a response before the body is read closes the connection, and the
+    // caller sees a failed write instead of the error response.
     let upload = match Upload::open(&http, payload).await {
         Ok(upload) => upload,
         Err(BodyError::TooLarge) => return refuse::too_large(MAX_BODY),
@@ -56,20 +57,20 @@
     };
     let message = Message::open(&http, workspace, &service.name, &path.1);
     if !service.idempotent && !is_safe(http.method()) {
-        return ticketed::call(&worker, service, message, upload, open).await;
+        return at_most_once::call(&worker, service, message, upload, open).await;
     }
     if worker.process.is_leaving() {
         return refuse::leaving(entries::list(&worker.process, message.workspace.as_str()));
     }
-    repeatable::call(&worker, service, message, upload, open).await
+    idempotent::call(&worker, service, message, upload, open).await
 }
 
-/// Methods that change nothing (RFC 9110, section 9.2.1) need no ticket anywhere.
+/// Whether the method is safe (RFC 9110, section 9.2.1); safe calls never need a ticket.
 fn is_safe(method: &Method) -> bool {
     matches!(*method, Method::GET | Method::HEAD | Method::OPTIONS)
 }
 
-fn ask(worker: &Worker, service: &Service, message: &Message) -> Request {
+fn admission(worker: &Worker, service: &Service, message: &Message) -> Request {
     Request {
         id: message.request,
         workspace: message.workspace.clone(),
--- a/crates/daemon/src/request/refuse/mod.rs
+++ b/crates/daemon/src/request/refuse/mod.rs
@@ -1,4 +1,4 @@
-//! Refusals: problem details that say whether the request ran and when to come back.
+//! Error responses: problem details that state whether the request ran and when to retry.
 
 mod ticket;
 
@@ -16,11 +16,11 @@
 use crate::request::auth::AuthError;
 
 pub(crate) use ticket::{
-    already_ran, crossed_ticket, expired_ticket, issuer_gone, ledger_full, still_running, ticket,
-    ticket_needed,
+    already_ran, expired_ticket, issuer_gone, ledger_full, mismatched_ticket, still_running,
+    ticket, ticket_needed,
 };
 
-/// When to ask an entry again that has just started; it reads the platform twice a second.
+/// Retry delay for an entry that has just started; it polls the platform twice a second.
 const NOT_READY_RETRY_MS: u64 = 500;
 
 pub(crate) fn respond(problem: &Problem) -> HttpResponse {
@@ -53,7 +53,7 @@
     respond(&problem(400, kind, detail, Ran::No))
 }
 
-/// The body of a completion request is not one.
+/// The body of a completion request is invalid.
 pub(crate) fn body(error: &JsonPayloadError) -> HttpResponse {
     let (status, kind, detail) = match error {
         JsonPayloadError::Overflow => {
@@ -76,7 +76,7 @@
     respond(&problem(404, "unknown-service", detail, Ran::No))
 }
 
-/// No text is in force yet, so nothing can be served.
+/// No configuration is in force yet, so no request can be served.
 pub(crate) fn not_ready() -> HttpResponse {
     let detail = "no text is in force yet; try again when /readyz says ready";
     let mut problem = problem(503, "not-ready", detail, Ran::No);
@@ -84,7 +84,7 @@
     respond(&problem)
 }
 
-/// The caller may not do this.
+/// Authentication failed.
 pub(crate) fn auth(error: &AuthError) -> HttpResponse {
     let (status, kind) = match error {
         AuthError::Name(_) => (400, "bad-workspace"),
@@ -99,14 +99,14 @@
     response
 }
 
-/// The resume handle is not taken; this entry has asked no target anything.
+/// The resume handle is rejected; no target was contacted.
 pub(crate) fn handle(error: HandleError) -> HttpResponse {
     let (status, kind) = match error {
         HandleError::Forged => (400, "bad-handle"),
         HandleError::Foreign => (403, "foreign-handle"),
         HandleError::Expired => (410, "expired-handle"),
     };
-    // The generation that the caller means did run, whatever the handle now says of it.
+    // The generation that the handle refers to may have run, so `ran` is unknown rather than no.
     respond(&problem(status, kind, &error.to_string(), Ran::Unknown))
 }
 
@@ -115,12 +115,12 @@
     respond(&problem(400, "bad-position", detail, Ran::Unknown))
 }
 
-/// The gate refused: the request has touched no target.
+/// The gate refused admission; no target was contacted.
 pub(crate) fn gate(refused: Refusal) -> HttpResponse {
     respond(&refusal(refused, Ran::No))
 }
 
-/// What the gate's refusal says to a caller.
+/// Returns the problem details for a refusal of the gate.
 pub(crate) fn refusal(refusal: Refusal, ran: Ran) -> Problem {
     let (status, detail) = match refusal.reason {
         Reason::WorkspaceLimit => (429, "the workspace is at its limit; send less or later"),
@@ -136,13 +136,13 @@
     problem
 }
 
-/// The answer ends unfinished.
+/// The answer ends incomplete.
 pub(crate) fn interrupted(ran: Ran) -> Problem {
     let detail = "the engine was lost before the answer was complete; discard it and ask again";
     problem(502, "interrupted", detail, ran)
 }
 
-/// This host is leaving; the caller gets the addresses to use instead.
+/// This host is leaving; the response lists the entries to use instead.
 pub(crate) fn leaving(entries: Entries) -> HttpResponse {
     let detail = "this host is leaving; use one of the listed entries";
     let mut problem = problem(503, "leaving", detail, Ran::No);
@@ -151,7 +151,7 @@
     respond(&problem)
 }
 
-/// What a failed target means for the caller.
+/// Returns the problem details for a failed target.
 pub(crate) fn failed(ran: Ran) -> Problem {
     let detail = match ran {
         Ran::No => "the target could not be reached; the call was not written; try again",
@@ -164,13 +164,13 @@
     respond(&failed(ran))
 }
 
-/// The body is larger than an entry takes; no target has seen it.
+/// The body exceeds the limit of an entry; no target has received it.
 pub(crate) fn too_large(limit: u64) -> HttpResponse {
     let detail = format!("the body is larger than {limit} bytes; send less, or a reference to it");
     respond(&problem(413, "too-large", &detail, Ran::No))
 }
 
-/// The body ended early or grew too large while a target was reading it.
+/// The body ended early or exceeded the limit while it was streamed to a target.
 pub(crate) fn broken_upload(limit: u64) -> HttpResponse {
     let detail = format!("the body broke off or is larger than {limit} bytes; send it whole");
     respond(&problem(400, "bad-body", &detail, Ran::Unknown))
