--- a/crates/daemon/src/request/completion.rs
+++ b/crates/daemon/src/request/completion.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`: one answer from one generation, begun here or taken up here.
+//! `POST /v1/completions`: starts a generation, or resumes one by its handle.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,30 +27,30 @@
 use crate::process::limits::Permit;
 use crate::process::{Open, Worker};
 use crate::request::body::Body;
-use crate::request::outlet::{Form, Head, Outlet, Reply};
 use crate::request::relay::{Attempt, Job, Relay};
+use crate::request::response::{Format, Head, Reply, Writer};
 use crate::request::{entries, refuse};
 use crate::version::Snapshot;
 use fireflyhoist_gateway::{Pass, ServiceGate};
 
-/// The most tokens of an answer where the caller names no bound.
+/// The most tokens of an answer where the request sets no limit.
 const DEFAULT_MAX_TOKENS: u64 = 65_536;
 
-/// Bytes of prompt for one token, a rough mean of European languages.
+/// Bytes of prompt per token, an approximate mean for European languages.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Gaps between tokens, counted in the service's own objective for them, after which a link is
-/// held to be silent; a new link costs one round trip, so a false alarm is cheap.
-const SILENT_GAPS: u32 = 20;
+/// The silence timeout of a link, in multiples of the service's objective for the gap between two
+/// tokens. A new link costs one round trip, so a false positive is cheap.
+const SILENCE_GAPS: u32 = 20;
 
-/// Bounds of the above, for objectives that are very small or very large.
-const SILENCE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
+/// Bounds of the silence timeout, for objectives that are very small or very large.
+const SILENCE_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
 
-/// Looks at the clock for each silence deadline.
-const BEATS: u32 = 4;
+/// Deadline checks per silence timeout.
+const TICKS_PER_SILENCE: u32 = 4;
 
-/// Bounds of the time between two looks.
-const BEAT: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(250));
+/// Bounds of the interval between two deadline checks.
+const TICK_BOUNDS: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(250));
 
 pub(crate) async fn post(
     worker: web::types::State<Worker>,
@@ -83,7 +83,7 @@
     call.serve(workspace, completion).await
 }
 
-/// One request and what it needs to be served.
+/// One request and the state needed to serve it.
 struct Call<'a> {
     worker: &'a Worker,
     http: &'a HttpRequest,
@@ -96,12 +96,12 @@
 impl Call<'_> {
     async fn serve(self, workspace: id::Workspace, completion: Completion) -> HttpResponse {
         let job = self.job(workspace, &completion);
-        let form =
-            Form { stream: completion.stream, resumes: accepts(self.http.headers(), "resume") };
+        let format =
+            Format { stream: completion.stream, resumes: accepts(self.http.headers(), "resume") };
         let watch = self.worker.process.burn().watch(self.service);
-        let (attempt, shown, permit) = match self.resumed(&job) {
-            // What runs already was admitted where it began.
-            Ok(Some((attempt, shown))) => (attempt, shown, None),
+        let (attempt, delivered, permit) = match self.resumed(&job) {
+            // A running generation was admitted by the entry that started it.
+            Ok(Some((attempt, delivered))) => (attempt, delivered, None),
             Ok(None) => match self.admit(&job).await {
                 Ok((pass, permit)) => match self.admitted(&job, pass) {
                     Some(attempt) => (attempt, false, Some(permit)),
@@ -115,16 +115,17 @@
             Err(response) => return response,
         };
         let clock = self.worker.process.clock;
-        let beat = (job.terms.silence_timeout / BEATS).clamp(BEAT.0, BEAT.1);
-        let (outlet, reply) = Outlet::open(clock, form, beat);
+        let tick =
+            (job.options.silence_timeout / TICKS_PER_SILENCE).clamp(TICK_BOUNDS.0, TICK_BOUNDS.1);
+        let (writer, reply) = Writer::open(clock, format, tick);
         let relay = Relay {
             worker: self.worker.clone(),
             open: Rc::clone(&self.open),
             lane: self.lane,
-            session: Session::open(clock.now(), job.terms, shown),
+            session: Session::open(clock.now(), job.options, delivered),
             job,
             attempt,
-            outlet,
+            writer,
             watch,
             permit,
         };
@@ -137,8 +138,8 @@
 
     /// Leave of the workspace's limits, which no target is needed for, and then of the gate.
     async fn admit(&self, job: &Job) -> Result<(Pass, Permit), Refusal> {
-        let permit = self.worker.process.limits.admit(&job.ask.workspace)?;
-        let pass = self.lane.admit(job.ask.clone()).await?;
+        let permit = self.worker.process.limits.admit(&job.admission.workspace)?;
+        let pass = self.lane.admit(job.admission.clone()).await?;
         Ok((pass, permit))
     }
 
@@ -147,7 +148,7 @@
         let gap = Duration::from_millis(self.service.objective.between_tokens_ms);
         let max_tokens = completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         Job {
-            ask: Request {
+            admission: Request {
                 id: id::Request::new(rand::random()),
                 workspace,
                 class: self.service.class,
@@ -161,10 +162,10 @@
             },
             service: self.service.name.clone(),
             patience,
-            terms: Options {
+            options: Options {
                 buffered: self.service.delivery == Delivery::Whole || !completion.stream,
                 restartable: accepts(self.http.headers(), "restart"),
-                silence_timeout: (gap * SILENT_GAPS).clamp(SILENCE.0, SILENCE.1),
+                silence_timeout: (gap * SILENCE_GAPS).clamp(SILENCE_BOUNDS.0, SILENCE_BOUNDS.1),
                 stall_timeout: patience,
             },
             start: Start {
@@ -176,28 +177,30 @@
         }
     }
 
-    /// A fresh generation at the target of the pass, unless that has just been removed.
+    /// Returns an attempt at the target of the pass, or `None` if the target has just been removed.
     fn admitted(&self, job: &Job, pass: Pass) -> Option<Attempt> {
         let target = self.service.targets.iter().find(|t| t.name == *pass.target())?;
         let generation = id::Generation::new(rand::random());
         Some(Attempt {
-            site: Site { address: target.address, generation, reader: job.ask.id },
+            site: Site { address: target.address, generation, reader: job.admission.id },
             target: target.name.clone(),
             pass: Some(pass),
-            known: false,
-            told: false,
-            way: Transcoder::open(generation, 0, job.terms.buffered),
+            accepted: false,
+            announced: false,
+            transcoder: Transcoder::open(generation, 0, job.options.buffered),
         })
     }
 
-    /// The generation that the caller takes up, and whether it has seen a part of it.
+    /// Returns the generation that the caller resumes, if any, and whether the caller has received
+    /// a part of it.
     fn resumed(&self, job: &Job) -> Result<Option<(Attempt, bool)>, HttpResponse> {
         let headers = self.http.headers();
         let Some(text) = headers.get(RESUME_HEADER) else { return Ok(None) };
         let text = text.to_str().unwrap_or_default();
         let key = &self.worker.process.key;
-        let handle = Handle::read(key, unix_s(), &job.ask.workspace, &self.service.name, text)
-            .map_err(refuse::handle)?;
+        let handle =
+            Handle::read(key, unix_s(), &job.admission.workspace, &self.service.name, text)
+                .map_err(refuse::handle)?;
         let from = match headers.get(LAST_EVENT_HEADER).map(|v| v.to_str().unwrap_or_default()) {
             None | Some("") => 0,
             Some(text) => match text.parse::<Position>() {
@@ -206,26 +209,27 @@
                 Err(error) => return Err(refuse::position(&error.to_string())),
             },
         };
-        // The text may have given the target a new address since; the generation runs at the old.
+        // The address comes from the handle: the configuration may have moved the target since, but
+        // the generation still runs at the old address.
         let generation = handle.generation;
         log::info!(
-            request:% = job.ask.id, generation:% = generation, target:% = handle.target,
+            request:% = job.admission.id, generation:% = generation, target:% = handle.target,
             offset = from, version:% = self.snapshot.version;
             "answer taken up"
         );
         let attempt = Attempt {
-            site: Site { address: handle.address, generation, reader: job.ask.id },
+            site: Site { address: handle.address, generation, reader: job.admission.id },
             target: handle.target,
             pass: None,
-            known: true,
-            told: false,
-            way: Transcoder::open(generation, from, job.terms.buffered),
+            accepted: true,
+            announced: false,
+            transcoder: Transcoder::open(generation, from, job.options.buffered),
         };
         Ok(Some((attempt, from > 0)))
     }
 }
 
-/// Whether the caller says that it understands events of a kind.
+/// Whether the request declares support for events of this kind.
 fn accepts(headers: &HeaderMap, kind: &str) -> bool {
     let values = headers.get_all(ACCEPT_HEADER).filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).any(|word| word.trim() == kind)
--- a/crates/daemon/src/request/mod.rs
+++ b/crates/daemon/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a request: reading it, having it decided, answering it.
+//! HTTP handlers: routing, reading requests, admission and responses.
 
 mod auth;
 mod body;
@@ -7,10 +7,10 @@
 mod ejected;
 mod entries;
 mod metrics;
-mod outlet;
 mod plain;
 mod refuse;
 mod relay;
+mod response;
 mod status;
 mod version;
 
@@ -20,10 +20,10 @@
 
 use crate::process::Worker;
 
-/// The largest completion request in bytes: a long manifest page's text with room to spare.
+/// The largest completion request, in bytes; above the size of a long manifest page's text.
 const MAX_COMPLETION: usize = 1 << 20;
 
-/// The workspace of callers that name none.
+/// The workspace of requests that do not name one.
 const DEFAULT_WORKSPACE: &str = "default";
 
 pub(crate) fn routes(config: &mut ServiceConfig) {
@@ -59,7 +59,9 @@
     }
 }
 
-/// The workspace that a caller names.
+/// Returns the workspace that the request names, or the default one.
+///
+/// Fails where the name is not valid.
 fn workspace(request: &HttpRequest) -> Result<id::Workspace, id::NameError> {
     let named = request.headers().get(WORKSPACE_HEADER).and_then(|value| value.to_str().ok());
     named.unwrap_or(DEFAULT_WORKSPACE).parse()
--- a/crates/daemon/src/request/relay.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -1,8 +1,8 @@
-//! Carries one answer from its engine to its caller, across failures of links and engines.
+//! Relays one answer from its engine to its caller, across failures of links and engines.
 //!
-//! It runs in a task of its own: a handler's future is dropped as soon as its caller disconnects,
-//! and the engine must be told even then. What to do about each failure is decided by
-//! [`fireflyhoist_policy::failover`].
+//! The relay runs in a task of its own: a handler's future is dropped as soon as its caller
+//! disconnects, and the engine's generation must be cancelled even then.
+//! [`fireflyhoist_policy::failover`] decides the step after each failure.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,33 +22,33 @@
 use crate::process::burn::Watch;
 use crate::process::limits::Permit;
 use crate::process::{Open, Worker};
-use crate::request::outlet::{Gone, Head, Outlet};
 use crate::request::refuse;
+use crate::request::response::{Disconnected, Head, Writer};
 use fireflyhoist_gateway::{Pass, ServiceGate};
 
-/// Tokens between two notes to the gate; each takes the lane's lock.
+/// Tokens between two progress reports to the gate; each takes the gate's lock.
 const PROGRESS_EVERY: u64 = 16;
 
-/// Bytes of a whole answer that are handed over at once.
-const CHUNK: usize = 16 * 1024;
+/// Chunk size in bytes for sending a buffered answer.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// The most bytes of one answer that are held; 65,536 tokens of 128 bytes and room to spare.
-const MAX_HELD: usize = 16 << 20;
+/// The most bytes of one answer that are buffered; 65,536 tokens of 128 bytes are half of it.
+const MAX_BUFFERED: usize = 16 << 20;
 
-/// How long a generation goes on for a caller that vanished, so that it can take up its answer at
-/// another entry; callers that reconnect do so within a second or two.
-const VANISHED_GRACE: Duration = Duration::from_secs(3);
+/// How long a generation continues after its caller has disconnected, so that the caller can resume
+/// it at another entry; callers that reconnect do so within one or two seconds.
+const RECONNECT_GRACE: Duration = Duration::from_secs(3);
 
-/// The longest wait before a whole answer asks the gate again.
-const MAX_ASK_AGAIN: Duration = Duration::from_secs(1);
+/// The longest delay before admission is retried for a buffered answer.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What does not change over the course of one answer.
+/// The parameters of one answer, which stay the same across its attempts.
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub(crate) ask: Request,
+    pub(crate) admission: Request,
     pub(crate) service: id::Service,
     pub(crate) patience: Duration,
-    pub(crate) terms: Options,
+    pub(crate) options: Options,
     pub(crate) start: Start,
 }
 
@@ -59,14 +59,14 @@
     pub(crate) target: id::Target,
     /// Absent where the generation was admitted by another entry.
     pub(crate) pass: Option<Pass>,
-    /// Whether the engine has answered that it has the generation.
-    pub(crate) known: bool,
-    /// Whether the caller has been told of it.
-    pub(crate) told: bool,
-    pub(crate) way: Transcoder,
+    /// Whether the engine has accepted the generation.
+    pub(crate) accepted: bool,
+    /// Whether the caller has been sent the handle of this generation.
+    pub(crate) announced: bool,
+    pub(crate) transcoder: Transcoder,
 }
 
-/// The course of one answer.
+/// The state of one answer across its attempts.
 #[derive(Debug)]
 pub(crate) struct Relay {
     pub(crate) worker: Worker,
@@ -75,7 +75,7 @@
     pub(crate) job: Job,
     pub(crate) session: Session,
     pub(crate) attempt: Attempt,
-    pub(crate) outlet: Outlet,
+    pub(crate) writer: Writer,
     pub(crate) watch: Watch,
     /// Absent where the generation was admitted by another entry.
     pub(crate) permit: Option<Permit>,
@@ -83,20 +83,20 @@
 
 /// Why a stream stopped before its end.
 enum Stop {
-    Gone,
+    Disconnected,
     Broken(Failure),
 }
 
-impl From<Gone> for Stop {
-    fn from(_: Gone) -> Self {
-        Self::Gone
+impl From<Disconnected> for Stop {
+    fn from(_: Disconnected) -> Self {
+        Self::Disconnected
     }
 }
 
 /// How an answer ended.
 enum End {
     Whole,
-    Gone,
+    Disconnected,
     Interrupted,
     Refused(Refusal),
 }
@@ -104,10 +104,10 @@
 impl Relay {
     pub(crate) async fn run(mut self) {
         let end = self.serve().await;
-        let request = self.job.ask.id;
+        let request = self.job.admission.id;
         match end {
             End::Whole => log::info!(request:% = request; "answer whole"),
-            End::Gone => {
+            End::Disconnected => {
                 log::info!(request:% = request; "caller gone");
                 self.abandon().await;
             }
@@ -115,12 +115,12 @@
                 let ran = if self.session.reached() { Ran::Unknown } else { Ran::No };
                 log::warn!(request:% = request, target:% = self.attempt.target; "interrupted");
                 self.finish(Outcome::Failed);
-                self.outlet.fail(refuse::interrupted(ran)).await;
+                self.writer.fail(refuse::interrupted(ran)).await;
             }
             End::Refused(refusal) => {
                 log::warn!(request:% = request, reason:% = refusal.reason; "given up");
                 let ran = if self.session.reached() { Ran::Unknown } else { Ran::No };
-                self.outlet.fail(refuse::refusal(refusal, ran)).await;
+                self.writer.fail(refuse::refusal(refusal, ran)).await;
             }
         }
         drop(self.open);
@@ -134,68 +134,69 @@
         loop {
             let kind = match self.stream().await {
                 Ok(()) => return End::Whole,
-                Err(Stop::Gone) => return End::Gone,
+                Err(Stop::Disconnected) => return End::Disconnected,
                 Err(Stop::Broken(kind)) => kind,
             };
             let step = self.session.fail(self.now(), kind);
             log::info!(
-                request:% = self.job.ask.id, generation:% = self.attempt.site.generation,
-                target:% = self.attempt.target, offset = self.attempt.way.next().offset,
+                request:% = self.job.admission.id, generation:% = self.attempt.site.generation,
+                target:% = self.attempt.target, offset = self.attempt.transcoder.next().offset,
                 cause:% = kind, step:? = step;
                 "stream broke"
             );
             let moved = match step {
-                Step::Resume { after } => self.outlet.wait(ntex::time::sleep(after)).await,
-                Step::Elsewhere => match self.elsewhere().await {
+                Step::Resume { after } => self.writer.wait(ntex::time::sleep(after)).await,
+                Step::Elsewhere => match self.fail_over().await {
                     Ok(moved) => moved,
                     Err(refusal) => return End::Refused(refusal),
                 },
-                Step::Restart => match self.elsewhere().await {
-                    Ok(Ok(())) => self.outlet.restart().await,
+                Step::Restart => match self.fail_over().await {
+                    Ok(Ok(())) => self.writer.restart().await,
                     Ok(Err(gone)) => Err(gone),
                     Err(refusal) => return End::Refused(refusal),
                 },
                 Step::Interrupt => return End::Interrupted,
             };
             if moved.is_err() {
-                return End::Gone;
+                return End::Disconnected;
             }
         }
     }
 
-    /// Reads the present generation over one link, to its end if nothing breaks.
+    /// Relays the current generation over one link until its end or the first failure.
     async fn stream(&mut self) -> Result<(), Stop> {
         let mut link = self.link().await?;
         self.session.mark_accepted(self.now());
-        self.attempt.known = true;
-        if !std::mem::replace(&mut self.attempt.told, true) {
+        self.attempt.accepted = true;
+        if !std::mem::replace(&mut self.attempt.announced, true) {
             let head = self.head();
-            self.outlet.begin(head).await?;
+            self.writer.begin(head).await?;
         }
-        let mut noted = self.attempt.way.next().offset;
+        let mut reported = self.attempt.transcoder.next().offset;
         loop {
-            let read = self.outlet.until(self.session.deadline(), link.read()).await?;
+            let read = self.writer.until(self.session.deadline(), link.read()).await?;
             let bytes = read.unwrap_or(Err(Failure::Silent)).map_err(Stop::Broken)?;
-            let before = self.attempt.way.next().offset;
+            let before = self.attempt.transcoder.next().offset;
             let mut out = Vec::with_capacity(2 * bytes.len());
-            let progress = self.attempt.way.feed(&bytes, &mut out);
+            let progress = self.attempt.transcoder.feed(&bytes, &mut out);
             let progress = progress.map_err(|_| Stop::Broken(Failure::Malformed))?;
             self.session.receive(self.now(), progress.taken > 0);
-            if self.attempt.way.held() > MAX_HELD {
+            if self.attempt.transcoder.held() > MAX_BUFFERED {
                 return Err(Stop::Broken(Failure::Malformed));
             }
             if !out.is_empty() {
-                self.outlet.send(out).await?;
+                self.writer.send(out).await?;
             }
-            let produced = self.attempt.way.next().offset;
+            let produced = self.attempt.transcoder.next().offset;
             (before..produced).for_each(|offset| self.watch.token(offset));
             if progress.preemptions > 0 {
                 self.watch.preempted();
             }
-            // The first token is told at once: until then the gate sends this engine no other prompt.
+            // The first token is reported at once: until then the gate sends this engine no other
+            // prompt.
             let started = before == 0 && produced > 0;
-            if started || progress.ended || produced >= noted + PROGRESS_EVERY {
-                noted = produced;
+            if started || progress.ended || produced >= reported + PROGRESS_EVERY {
+                reported = produced;
                 if let Some(permit) = &mut self.permit {
                     permit.spend(produced);
                 }
@@ -205,7 +206,7 @@
             }
             if progress.ended {
                 self.finish(Outcome::Whole);
-                return self.hand_over().await;
+                return self.send_buffered().await;
             }
         }
     }
@@ -213,19 +214,19 @@
     async fn link(&mut self) -> Result<Link, Stop> {
         self.session.connect(self.now());
         let client = self.worker.client.clone();
-        let Attempt { site, way, known, .. } = &self.attempt;
-        let patience = self.job.terms.silence_timeout;
-        let opened = match *known {
+        let Attempt { site, transcoder, accepted, .. } = &self.attempt;
+        let patience = self.job.options.silence_timeout;
+        let opened = match *accepted {
             true => {
-                let from = way.next().offset;
-                self.outlet.wait(Link::resume(&client, site, from, patience)).await
+                let from = transcoder.next().offset;
+                self.writer.wait(Link::resume(&client, site, from, patience)).await
             }
             false => {
                 let start = Start { generation: site.generation, ..self.job.start.clone() };
-                self.outlet.wait(Link::start(&client, site, &start, patience)).await
+                self.writer.wait(Link::start(&client, site, &start, patience)).await
             }
         };
-        self.attempt.way.relink();
+        self.attempt.transcoder.relink();
         opened?.map_err(|kind| {
             if !matches!(kind, Failure::Refused | Failure::Declined) {
                 self.session.mark_reached();
@@ -234,17 +235,17 @@
         })
     }
 
-    /// Hands over what was held; the engine is already free.
-    async fn hand_over(&mut self) -> Result<(), Stop> {
-        if !self.outlet.streams() {
+    /// Sends the buffered answer; the engine has already finished.
+    async fn send_buffered(&mut self) -> Result<(), Stop> {
+        if !self.writer.streams() {
             let head = self.head();
-            self.outlet.body(head, self.attempt.way.joined());
+            self.writer.body(head, self.attempt.transcoder.joined());
             return Ok(());
         }
-        for chunk in self.attempt.way.release(CHUNK) {
-            self.outlet.send(chunk).await?;
+        for chunk in self.attempt.transcoder.release(CHUNK_BYTES) {
+            self.writer.send(chunk).await?;
         }
-        self.outlet.done().await?;
+        self.writer.done().await?;
         Ok(())
     }
 
@@ -254,24 +255,26 @@
             target: self.attempt.target.clone(),
             address: self.attempt.site.address,
             service: self.job.service.clone(),
-            workspace: self.job.ask.workspace.clone(),
+            workspace: self.job.admission.workspace.clone(),
             expires_s: crate::process::clock::unix_s() + LIFETIME_S,
         };
-        Head { request: self.job.ask.id, handle: handle.write(&self.worker.process.key) }
+        Head { request: self.job.admission.id, handle: handle.write(&self.worker.process.key) }
     }
 
-    /// Moves to a fresh generation at another engine.
-    async fn elsewhere(&mut self) -> Result<Result<(), Gone>, Refusal> {
-        self.cancel_old();
+    /// Starts a new generation at another engine.
+    ///
+    /// The outer error is a refused admission; the inner one, a caller that disconnected.
+    async fn fail_over(&mut self) -> Result<Result<(), Disconnected>, Refusal> {
+        self.cancel_previous();
         self.finish(Outcome::Failed);
         let until = self.now() + self.job.patience;
         loop {
-            let mut ask = self.job.ask.clone();
-            ask.avoid = Some(self.attempt.target.clone());
-            ask.retry = true;
-            ask.deadline = until;
-            let Ok(admitted) = self.outlet.wait(self.lane.admit(ask)).await else {
-                return Ok(Err(Gone));
+            let mut admission = self.job.admission.clone();
+            admission.avoid = Some(self.attempt.target.clone());
+            admission.retry = true;
+            admission.deadline = until;
+            let Ok(admitted) = self.writer.wait(self.lane.admit(admission)).await else {
+                return Ok(Err(Disconnected));
             };
             let refusal = match admitted {
                 Ok(pass) => match self.begin(pass) {
@@ -280,19 +283,21 @@
                 },
                 Err(refusal) => refusal,
             };
-            // A whole answer outlasts a budget that is spent and targets that come back: its
-            // caller reads it the next day. Anybody else is told at once.
-            if !self.job.terms.buffered || self.now() >= until {
+            // Admission is retried only for a buffered answer, whose caller may read it a day
+            // later: a spent retry budget refills and targets recover meanwhile. Other callers
+            // get the refusal at once.
+            if !self.job.options.buffered || self.now() >= until {
                 return Err(refusal);
             }
-            let nap = refusal.retry_after.min(MAX_ASK_AGAIN);
-            if self.outlet.wait(ntex::time::sleep(nap)).await.is_err() {
-                return Ok(Err(Gone));
+            let delay = refusal.retry_after.min(MAX_RETRY_DELAY);
+            if self.writer.wait(ntex::time::sleep(delay)).await.is_err() {
+                return Ok(Err(Disconnected));
             }
         }
     }
 
-    /// Begins a fresh generation where the pass says; false where that target has just gone.
+    /// Starts a new generation at the target of the pass; returns false if that target has just
+    /// been removed.
     fn begin(&mut self, pass: Pass) -> bool {
         let snapshot = self.worker.process.snapshot();
         let service = snapshot.as_ref().and_then(|s| s.text.service(&self.job.service));
@@ -300,12 +305,12 @@
         let Some(target) = target else { return false };
         let generation = id::Generation::new(rand::random());
         self.attempt = Attempt {
-            site: Site { address: target.address, generation, reader: self.job.ask.id },
+            site: Site { address: target.address, generation, reader: self.job.admission.id },
             target: target.name.clone(),
             pass: Some(pass),
-            known: false,
-            told: false,
-            way: Transcoder::open(generation, 0, self.job.terms.buffered),
+            accepted: false,
+            announced: false,
+            transcoder: Transcoder::open(generation, 0, self.job.options.buffered),
         };
         self.session.begin(self.now());
         true
@@ -317,22 +322,23 @@
         }
     }
 
-    /// Tells the engine that is being left, in case it was only cut off and still generates.
-    fn cancel_old(&self) {
+    /// Cancels the previous generation, in case only its link failed and it is still running.
+    fn cancel_previous(&self) {
         let client = self.worker.client.clone();
         let site = self.attempt.site.clone();
         ntex::rt::spawn(async move { engine::cancel(&client, &site).await }).detach();
     }
 
-    /// The caller is gone: leaves it time to come back at any entry, then tells the engine.
+    /// Cancels the generation of a caller that has disconnected, after a grace period in which it
+    /// can resume at any entry.
     ///
-    /// The cancel names this reader, so it ends nothing where the caller has come back.
+    /// The cancel call names this reader, so it has no effect where the caller has resumed.
     async fn abandon(&mut self) {
-        let running = self.attempt.pass.is_some() || self.attempt.known;
+        let running = self.attempt.pass.is_some() || self.attempt.accepted;
         if !running || !self.session.reached() {
             return self.finish(Outcome::Cancelled);
         }
-        ntex::time::sleep(VANISHED_GRACE).await;
+        ntex::time::sleep(RECONNECT_GRACE).await;
         engine::cancel(&self.worker.client, &self.attempt.site).await;
         self.finish(Outcome::Cancelled);
     }
--- a/crates/daemon/src/request/outlet.rs
+++ b/crates/daemon/src/request/response.rs
@@ -1,4 +1,5 @@
-//! The way out to one caller: headers, events, keep-alive comments, and noticing that it is gone.
+//! Writes the response to one caller: headers, events and keep-alive comments, and detects that the
+//! caller has disconnected.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -17,31 +18,31 @@
 
 use crate::process::clock::Clock;
 
-/// Chunks that wait for a slow caller before its engine's link is left unread. A chunk is what one
-/// read of that link brought, so a caller that reads nothing holds a few hundred kilobytes at most.
+/// Chunks queued for a slow caller before the engine's link is no longer read. A chunk is the result
+/// of one read of that link, so a caller that reads nothing holds a few hundred kilobytes at most.
 const BACKLOG: usize = 4;
 
-/// How long a caller may read nothing while chunks wait for it.
-const SEND_PATIENCE: Duration = Duration::from_secs(30);
+/// How long a caller may read nothing while chunks are queued for it.
+const SEND_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a stream stays without bytes before a comment shows the caller that it lives.
+/// Idle time of a stream before a keep-alive comment is sent.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
-/// The caller waits for its answer no more.
+/// The caller has disconnected.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Gone;
+pub(crate) struct Disconnected;
 
-/// What the headers of a response say.
+/// The values of the response headers.
 #[derive(Clone, Debug)]
 pub(crate) struct Head {
     pub(crate) request: id::Request,
     pub(crate) handle: SmolStr,
 }
 
-/// Bytes on their way to one caller.
+/// The chunks of one response body.
 pub(crate) type Receiver = mpsc::Receiver<Result<Bytes, Infallible>>;
 
-/// How the handler is to answer.
+/// The response that the handler sends.
 #[derive(Debug)]
 pub(crate) enum Reply {
     /// Events follow.
@@ -52,114 +53,115 @@
     Failed(Problem),
 }
 
-/// What the caller asked for and understands.
+/// The response format that the caller asked for and supports.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Form {
+pub(crate) struct Format {
     /// Events instead of one body.
     pub(crate) stream: bool,
-    /// The caller knows `resume` events.
+    /// The caller supports `resume` events.
     pub(crate) resumes: bool,
 }
 
-/// The way out.
+/// Writes the response to one caller.
 #[derive(Debug)]
-pub(crate) struct Outlet {
+pub(crate) struct Writer {
     clock: Clock,
-    form: Form,
+    format: Format,
     first: Option<oneshot::Sender<Reply>>,
     chunks: Option<mpsc::Sender<Result<Bytes, Infallible>>>,
-    beat: Interval,
+    tick: Interval,
     sent: Time,
 }
 
-impl Outlet {
-    /// Opens the way to the handler that holds the receiver; `beat` is how often time is looked at
-    /// while nothing happens.
+impl Writer {
+    /// Creates a writer and the receiver by which the handler gets the response; `tick` is the
+    /// interval at which deadlines and the connection are checked.
     pub(crate) fn open(
         clock: Clock,
-        form: Form,
-        beat: Duration,
+        format: Format,
+        tick: Duration,
     ) -> (Self, oneshot::Receiver<Reply>) {
         let (sender, receiver) = oneshot::channel();
-        let outlet = Self {
+        let writer = Self {
             clock,
-            form,
+            format,
             first: Some(sender),
             chunks: None,
-            beat: interval(beat),
+            tick: interval(tick),
             sent: clock.now(),
         };
-        (outlet, receiver)
+        (writer, receiver)
     }
 
-    /// Whether the answer goes out as events.
+    /// Whether the answer is sent as events.
     pub(crate) fn streams(&self) -> bool {
-        self.form.stream
+        self.format.stream
     }
 
-    /// Whether the caller is known to be gone.
-    pub(crate) fn is_gone(&self) -> bool {
+    /// Whether the caller is known to have disconnected.
+    pub(crate) fn is_disconnected(&self) -> bool {
         let before = self.first.as_ref().is_some_and(oneshot::Sender::is_closed);
         before || self.chunks.as_ref().is_some_and(mpsc::Sender::is_closed)
     }
 
-    /// Sends the headers of a stream, or tells a caller that has them of a new generation.
-    pub(crate) async fn begin(&mut self, head: Head) -> Result<(), Gone> {
-        if !self.form.stream {
+    /// Sends the headers of a stream. Where they were sent before, sends the handle of the new
+    /// generation as a `resume` event to a caller that supports it.
+    pub(crate) async fn begin(&mut self, head: Head) -> Result<(), Disconnected> {
+        if !self.format.stream {
             return Ok(());
         }
         if let Some(first) = self.first.take() {
             let (sender, receiver) = mpsc::channel(BACKLOG);
             self.chunks = Some(sender);
-            return first.send(Reply::Stream(head, receiver)).map_err(|_| Gone);
+            return first.send(Reply::Stream(head, receiver)).map_err(|_| Disconnected);
         }
-        match self.form.resumes {
+        match self.format.resumes {
             true => self.event(RESUME_EVENT, head.handle.to_string()).await,
             false => Ok(()),
         }
     }
 
-    /// Tells the caller to discard what it has received.
-    pub(crate) async fn restart(&mut self) -> Result<(), Gone> {
+    /// Sends a `restart` event: the caller discards what it has received.
+    pub(crate) async fn restart(&mut self) -> Result<(), Disconnected> {
         self.event(RESTART_EVENT, "{}".to_owned()).await
     }
 
-    async fn event(&mut self, name: &str, data: String) -> Result<(), Gone> {
+    async fn event(&mut self, name: &str, data: String) -> Result<(), Disconnected> {
         let mut out = String::new();
         sse::Event { id: String::new(), name: name.to_owned(), data }.write(&mut out);
         self.send(out.into_bytes()).await
     }
 
-    /// Sends bytes; waits for a slow caller, but not for ever.
-    pub(crate) async fn send(&mut self, bytes: Vec<u8>) -> Result<(), Gone> {
+    /// Sends bytes; waits for a slow caller for up to `SEND_TIMEOUT`.
+    pub(crate) async fn send(&mut self, bytes: Vec<u8>) -> Result<(), Disconnected> {
         let Some(chunks) = &mut self.chunks else { return Ok(()) };
         self.sent = self.clock.now();
         let Err(full) = chunks.try_send(Ok(Bytes::from(bytes))) else { return Ok(()) };
         if full.is_disconnected() {
-            return Err(Gone);
+            return Err(Disconnected);
         }
-        // Guards against a caller that stopped reading for good: without a bound it would hold an
-        // engine's stream and its place at the gate for as long as its connection stands.
-        match timeout(SEND_PATIENCE, chunks.send(full.into_inner())).await {
+        // Without a timeout, a caller that stops reading would hold an engine's stream and its
+        // admission slot for as long as its connection is open.
+        match timeout(SEND_TIMEOUT, chunks.send(full.into_inner())).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(()) => Err(Gone),
+            Ok(Err(_)) | Err(()) => Err(Disconnected),
         }
     }
 
-    /// Waits for `work` until `deadline`, and meanwhile keeps the caller's connection alive.
+    /// Waits for `work` until `deadline` and sends keep-alive comments meanwhile.
     ///
     /// Returns `None` where the deadline passed first.
     pub(crate) async fn until<T>(
         &mut self,
         deadline: Time,
         work: impl Future<Output = T>,
-    ) -> Result<Option<T>, Gone> {
+    ) -> Result<Option<T>, Disconnected> {
         let mut work = std::pin::pin!(work);
         loop {
             tokio::select! {
                 biased;
                 done = &mut work => return Ok(Some(done)),
-                _ = self.beat.tick() => {}
+                _ = self.tick.tick() => {}
             }
             self.keep_alive()?;
             if self.clock.now() >= deadline {
@@ -168,8 +170,11 @@
         }
     }
 
-    /// Waits for `work`, however long it takes.
-    pub(crate) async fn wait<T>(&mut self, work: impl Future<Output = T>) -> Result<T, Gone> {
+    /// Waits for `work` without a deadline and sends keep-alive comments meanwhile.
+    pub(crate) async fn wait<T>(
+        &mut self,
+        work: impl Future<Output = T>,
+    ) -> Result<T, Disconnected> {
         let mut work = std::pin::pin!(work);
         loop {
             if let Some(done) = self.until(Time::NEVER, work.as_mut()).await? {
@@ -178,22 +183,22 @@
         }
     }
 
-    fn keep_alive(&mut self) -> Result<(), Gone> {
-        // A caller that left is noticed only when something is written to it; a stream without
-        // tokens would go on for nobody.
+    fn keep_alive(&mut self) -> Result<(), Disconnected> {
+        // A disconnect is detected only by a write; without keep-alive comments, a generation whose
+        // stream has no tokens would continue after its caller has disconnected.
         if self.clock.now().since(self.sent) >= KEEP_ALIVE {
             self.sent = self.clock.now();
             if let Some(chunks) = &mut self.chunks {
-                // A full channel holds bytes that show the same.
+                // A full channel already holds bytes that keep the connection alive.
                 let comment = Bytes::from_static(sse::KEEP_ALIVE.as_bytes());
                 drop(chunks.try_send(Ok(comment)));
             }
         }
-        if self.is_gone() { Err(Gone) } else { Ok(()) }
+        if self.is_disconnected() { Err(Disconnected) } else { Ok(()) }
     }
 
     /// Ends a stream with its end mark.
-    pub(crate) async fn done(&mut self) -> Result<(), Gone> {
+    pub(crate) async fn done(&mut self) -> Result<(), Disconnected> {
         self.send(format!("data: {DONE}\n\n").into_bytes()).await
     }
 
@@ -208,7 +213,7 @@
             return self.reply(Reply::Failed(problem));
         }
         let data = serde_json::to_string(&problem).unwrap_or_default();
-        // A caller that is gone by now needs no error.
+        // The error is not needed where the caller has disconnected.
         let _ = self.event(ERROR_EVENT, data).await;
     }
 
