--- a/crates/daemon/src/request/completion.rs
+++ b/crates/daemon/src/request/completion.rs
@@ -76,10 +76,10 @@
     let Some(service) = service.filter(|s| s.kind == Kind::Model) else {
         return refuse::not_found("no model service has this name; see the operators' text");
     };
-    let Some(lane) = worker.process.lane(&service.name) else {
+    let Some(gate) = worker.process.lane(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
-    let call = Call { worker: &worker, http: &http, open, lane, service, snapshot: &snapshot };
+    let call = Call { worker: &worker, http: &http, open, gate, service, snapshot: &snapshot };
     call.serve(workspace, completion).await
 }
 
@@ -88,7 +88,7 @@
     worker: &'a Worker,
     http: &'a HttpRequest,
     open: Rc<Open>,
-    lane: Arc<ServiceGate>,
+    gate: Arc<ServiceGate>,
     service: &'a Service,
     snapshot: &'a Snapshot,
 }
@@ -121,7 +121,7 @@
         let relay = Relay {
             worker: self.worker.clone(),
             open: Rc::clone(&self.open),
-            lane: self.lane,
+            gate: self.gate,
             session: Session::open(clock.now(), job.options, delivered),
             job,
             attempt,
@@ -139,7 +139,7 @@
     /// Leave of the workspace's limits, which no target is needed for, and then of the gate.
     async fn admit(&self, job: &Job) -> Result<(Pass, Permit), Refusal> {
         let permit = self.worker.process.limits.admit(&job.admission.workspace)?;
-        let pass = self.lane.admit(job.admission.clone()).await?;
+        let pass = self.gate.admit(job.admission.clone()).await?;
         Ok((pass, permit))
     }
 
--- a/crates/daemon/src/request/ejected.rs
+++ b/crates/daemon/src/request/ejected.rs
@@ -7,7 +7,7 @@
 /// Sets the reason for each target that this host has ejected, unless one is set already.
 pub(crate) fn mark(process: &Process, status: &mut Status) {
     for target in status.targets.iter_mut().filter(|target| target.unused.is_none()) {
-        let lane = process.lane(&target.service);
-        target.unused = lane.and_then(|lane| lane.ejection(&target.name));
+        let gate = process.lane(&target.service);
+        target.unused = gate.and_then(|gate| gate.ejection(&target.name));
     }
 }
--- a/crates/daemon/src/request/mod.rs
+++ b/crates/daemon/src/request/mod.rs
@@ -21,15 +21,15 @@
 use crate::process::Worker;
 
 /// The largest completion request, in bytes; above the size of a long manifest page's text.
-const MAX_COMPLETION: usize = 1 << 20;
+const MAX_COMPLETION_BYTES: usize = 1 << 20;
 
 /// The workspace of requests that do not name one.
 const DEFAULT_WORKSPACE: &str = "default";
 
 pub(crate) fn routes(config: &mut ServiceConfig) {
     config
-        .state(web::types::JsonConfig::default().limit(MAX_COMPLETION))
-        .state(web::types::PayloadConfig::new(MAX_COMPLETION))
+        .state(web::types::JsonConfig::default().limit(MAX_COMPLETION_BYTES))
+        .state(web::types::PayloadConfig::new(MAX_COMPLETION_BYTES))
         .route("/healthz", web::get().to(healthz))
         .route("/readyz", web::get().to(readyz))
         .route("/metrics", web::get().to(metrics::get))
--- a/crates/daemon/src/request/plain/at_most_once.rs
+++ b/crates/daemon/src/request/plain/at_most_once.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use fireflyhoist_policy::gate::Outcome;
-use fireflyhoist_policy::idempotency::{Claim, Outcome as Ending};
+use fireflyhoist_policy::idempotency::{Claim, Outcome as CallOutcome};
 use fireflyhoist_policy::ticket::{LIFETIME, Ticket};
 use fireflyhoist_text::{Kind, Service};
 use fireflyhoist_wire::caller::{Purpose, REPLAYED_HEADER, REQUEST_HEADER, Ticket as Issued};
@@ -21,14 +21,14 @@
 use crate::process::tickets::Kept;
 use crate::process::{Open, Worker};
 use crate::request::plain::message::{BodyError, Message, Upload, end_to_end, patience};
-use crate::request::plain::{MAX_BUFFERED, address, admission, forward};
+use crate::request::plain::{MAX_BUFFERED_BYTES, address, admission, forward};
 use crate::request::{entries, refuse};
 
 /// Targets that are tried for a call while no connection can be opened.
 const MAX_CONNECTS: u32 = 3;
 
 /// The largest reply that is accepted from a target, in bytes.
-const MAX_REPLY: usize = 8 << 20;
+const MAX_REPLY_BYTES: usize = 8 << 20;
 
 /// `POST /v1/tickets`: issues a ticket for one call to a plain service.
 pub(crate) async fn issue(
@@ -73,7 +73,7 @@
     };
     let body = match upload.read().await {
         Ok(body) => body,
-        Err(BodyError::TooLarge) => return refuse::too_large(MAX_BUFFERED as u64),
+        Err(BodyError::TooLarge) => return refuse::too_large(MAX_BUFFERED_BYTES as u64),
         Err(BodyError::Broken) => return refuse::bad_request("bad-body", "send the whole body"),
     };
     let tickets = &worker.process.tickets;
@@ -88,10 +88,10 @@
     if worker.process.is_leaving() && !tickets.knows(&ticket) {
         return refuse::leaving(entries::list(&worker.process, message.workspace.as_str()));
     }
-    claimed(worker, service, message, ticket, body, open).await
+    claim_and_run(worker, service, message, ticket, body, open).await
 }
 
-async fn claimed(
+async fn claim_and_run(
     worker: &Worker,
     service: &Service,
     message: Message,
@@ -103,11 +103,13 @@
     match worker.process.tickets.claim(&ticket, digest(&message, &body)) {
         Claim::Run => {}
         Claim::Running => return refuse::respond(&refuse::still_running()),
-        Claim::Ran(Ending::Unknown) => return refuse::target_failed(Ran::Unknown),
-        Claim::Ran(Ending::Replied { status, reply: None }) => {
+        Claim::Ran(CallOutcome::Unknown) => return refuse::target_failed(Ran::Unknown),
+        Claim::Ran(CallOutcome::Replied { status, reply: None }) => {
             return refuse::respond(&refuse::already_ran(status));
         }
-        Claim::Ran(Ending::Replied { status, reply: Some(kept) }) => return replay(status, kept),
+        Claim::Ran(CallOutcome::Replied { status, reply: Some(kept) }) => {
+            return replay(status, kept);
+        }
         Claim::Mismatch => return refuse::respond(&refuse::mismatched_ticket()),
         Claim::Expired => return refuse::respond(&refuse::expired_ticket()),
         Claim::Full => return refuse::respond(&refuse::ledger_full()),
@@ -155,7 +157,7 @@
     async fn read(response: ClientResponse) -> Option<Self> {
         let status = response.status();
         let headers = end_to_end(response.headers());
-        let body = response.body().limit(MAX_REPLY).await.ok()?;
+        let body = response.body().limit(MAX_REPLY_BYTES).await.ok()?;
         Some(Self { status, headers, body })
     }
 
@@ -188,8 +190,8 @@
         match self.send().await {
             Ok(reply) => {
                 let status = reply.status.as_u16();
-                let ending = Ending::Replied { status, reply: Some(reply.kept()) };
-                tickets.settle(&self.ticket, ending, reply.body.len());
+                let outcome = CallOutcome::Replied { status, reply: Some(reply.kept()) };
+                tickets.settle(&self.ticket, outcome, reply.body.len());
                 Ok(reply)
             }
             Err(problem) if problem.ran == Ran::No => {
@@ -197,7 +199,7 @@
                 Err(problem)
             }
             Err(problem) => {
-                tickets.settle(&self.ticket, Ending::Unknown, 0);
+                tickets.settle(&self.ticket, CallOutcome::Unknown, 0);
                 Err(problem)
             }
         }
@@ -205,12 +207,12 @@
 
     async fn send(&self) -> Result<Reply, Problem> {
         let Self { worker, service, message, body, .. } = self;
-        let lane = worker.process.lane(&service.name);
-        let lane = lane.ok_or_else(|| refuse::failed(Ran::No))?;
+        let gate = worker.process.lane(&service.name);
+        let gate = gate.ok_or_else(|| refuse::failed(Ran::No))?;
         let watch = worker.process.burn().watch(service);
         let mut admission = admission(worker, service, message);
         for _ in 0..MAX_CONNECTS {
-            let admitted = lane.admit(admission.clone()).await;
+            let admitted = gate.admit(admission.clone()).await;
             let pass = admitted.map_err(|refusal| refuse::refusal(refusal, Ran::No))?;
             admission.avoid = Some(pass.target().clone());
             admission.retry = true;
--- a/crates/daemon/src/request/plain/forward.rs
+++ b/crates/daemon/src/request/plain/forward.rs
@@ -24,10 +24,10 @@
 const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time for the issuer's own error response to arrive after its target has timed out.
-const MARGIN: Duration = Duration::from_secs(1);
+const REPLY_MARGIN: Duration = Duration::from_secs(1);
 
 /// The largest reply that is returned to the caller, in bytes.
-const MAX_REPLY: usize = 8 << 20;
+const MAX_REPLY_BYTES: usize = 8 << 20;
 
 /// Forwards the call to the issuer; responds with `ran: unknown` as soon as the issuer is gone or
 /// fails a liveness check.
@@ -43,10 +43,10 @@
     let Some(address) = issuer.and_then(|host| host.entry).map(|entry| entry.http) else {
         return refuse::respond(&refuse::issuer_gone());
     };
-    let sent = sent(worker, message, address, body);
-    let sent = timeout(patience(service) + MARGIN, sent);
+    let pending = send(worker, message, address, body);
+    let pending = timeout(patience(service) + REPLY_MARGIN, pending);
     tokio::select! {
-        reply = sent => reply.ok().flatten(),
+        reply = pending => reply.ok().flatten(),
         // The kernel of a paused issuer accepts the connection and the call, and no reply arrives.
         // Whether the issuer runs the call once it resumes is unknown.
         () = unresponsive(worker, address) => None,
@@ -57,7 +57,7 @@
     })
 }
 
-async fn sent(
+async fn send(
     worker: &Worker,
     message: &Message,
     address: SocketAddr,
@@ -85,7 +85,7 @@
     if let Some(value) = response.headers().get(CONTENT_TYPE).and_then(|v| v.to_str().ok()) {
         reply.content_type(value.to_owned());
     }
-    let body = response.body().limit(MAX_REPLY).await.ok()?;
+    let body = response.body().limit(MAX_REPLY_BYTES).await.ok()?;
     Some(reply.body(body))
 }
 
--- a/crates/daemon/src/request/plain/idempotent.rs
+++ b/crates/daemon/src/request/plain/idempotent.rs
@@ -22,7 +22,7 @@
 use crate::process::{Open, Worker};
 use crate::request::body::Body;
 use crate::request::plain::message::{Message, Upload, end_to_end, patience};
-use crate::request::plain::{MAX_BODY, address, admission};
+use crate::request::plain::{MAX_BODY_BYTES, address, admission};
 use crate::request::refuse;
 use fireflyhoist_gateway::Pass;
 
@@ -31,10 +31,11 @@
 
 /// The timeout of one attempt, in multiples of the service's objective for a reply. Another target is
 /// tried after it; otherwise a lookup whose connection went silent would block its page.
-const SLOW_OBJECTIVES: u32 = 10;
+const ATTEMPT_OBJECTIVES: u32 = 10;
 
 /// Bounds of the timeout of one attempt.
-const SLOW_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(60));
+const ATTEMPT_TIMEOUT_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(60));
 
 pub(crate) async fn call(
     worker: &Worker,
@@ -57,14 +58,14 @@
     body: Bytes,
     open: Rc<Open>,
 ) -> HttpResponse {
-    let Some(lane) = worker.process.lane(&service.name) else {
+    let Some(gate) = worker.process.lane(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let watch = worker.process.burn().watch(service);
     let mut admission = admission(worker, service, message);
     let mut ran = Ran::No;
     for attempt in 1..=MAX_ATTEMPTS {
-        let pass = match lane.admit(admission.clone()).await {
+        let pass = match gate.admit(admission.clone()).await {
             Ok(pass) => pass,
             Err(refusal) => {
                 watch.refused();
@@ -74,7 +75,7 @@
         let target = pass.target().clone();
         admission.avoid = Some(target.clone());
         admission.retry = true;
-        match try_once(worker, service, message, &body, attempt, &target).await {
+        match send_once(worker, service, message, &body, attempt, &target).await {
             Ok(response) => {
                 watch.answered();
                 return reply(&message.method, response, pass, open);
@@ -95,7 +96,7 @@
     refuse::target_failed(ran)
 }
 
-async fn try_once(
+async fn send_once(
     worker: &Worker,
     service: &Service,
     message: &Message,
@@ -114,9 +115,10 @@
         _ => fresh(&worker.client, message.method.clone(), address, &message.path),
     };
     let objective = Duration::from_millis(service.objective.first_token_ms);
-    let slow =
-        (objective * SLOW_OBJECTIVES).clamp(SLOW_BOUNDS.0, SLOW_BOUNDS.1).min(patience(service));
-    match timeout(slow, message.add_headers(request).send_body(body.clone())).await {
+    let attempt_timeout = (objective * ATTEMPT_OBJECTIVES)
+        .clamp(ATTEMPT_TIMEOUT_BOUNDS.0, ATTEMPT_TIMEOUT_BOUNDS.1)
+        .min(patience(service));
+    match timeout(attempt_timeout, message.add_headers(request).send_body(body.clone())).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) if unwritten(&error) => Err(Ran::No),
         Ok(Err(_)) | Err(()) => Err(Ran::Unknown),
@@ -131,11 +133,11 @@
     payload: types::Payload,
     open: Rc<Open>,
 ) -> HttpResponse {
-    let Some(lane) = worker.process.lane(&service.name) else {
+    let Some(gate) = worker.process.lane(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let watch = worker.process.burn().watch(service);
-    let pass = match lane.admit(admission(worker, service, &message)).await {
+    let pass = match gate.admit(admission(worker, service, &message)).await {
         Ok(pass) => pass,
         Err(refusal) => {
             watch.refused();
@@ -146,7 +148,7 @@
         return refuse::target_failed(Ran::No);
     };
     let request = fresh(&worker.client, message.method.clone(), address, &message.path);
-    let body = Bounded { payload: payload.into_inner(), left: MAX_BODY };
+    let body = Bounded { payload: payload.into_inner(), remaining: MAX_BODY_BYTES };
     match message.add_headers(request).send_stream(body).await {
         Ok(response) => {
             watch.answered();
@@ -156,7 +158,7 @@
             pass.finish(Outcome::Failed);
             match error {
                 error if unwritten(&error) => refuse::target_failed(Ran::No),
-                ClientError::Error(_) => refuse::broken_upload(MAX_BODY),
+                ClientError::Error(_) => refuse::broken_upload(MAX_BODY_BYTES),
                 _ => refuse::target_failed(Ran::Unknown),
             }
         }
@@ -189,7 +191,7 @@
 /// A streamed body that fails once it exceeds a size limit.
 struct Bounded {
     payload: Payload,
-    left: u64,
+    remaining: u64,
 }
 
 impl Stream for Bounded {
@@ -201,8 +203,9 @@
         };
         Poll::Ready(next.map(|bytes| {
             let bytes = bytes.map_err(|_| UploadError::Broken)?;
-            let left = self.left.checked_sub(bytes.len() as u64).ok_or(UploadError::TooLarge)?;
-            self.left = left;
+            let remaining =
+                self.remaining.checked_sub(bytes.len() as u64).ok_or(UploadError::TooLarge)?;
+            self.remaining = remaining;
             Ok(bytes)
         }))
     }
--- a/crates/daemon/src/request/plain/message.rs
+++ b/crates/daemon/src/request/plain/message.rs
@@ -16,7 +16,7 @@
 use ntex::util::{Bytes, BytesMut};
 use ntex::web::{HttpRequest, types};
 
-use crate::request::plain::{MAX_BODY, MAX_BUFFERED};
+use crate::request::plain::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 
 /// Hop-by-hop headers (RFC 9110, section 7.6.1), besides those that `Connection` names.
 const HOP_BY_HOP: [HeaderName; 6] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, EXPECT];
@@ -132,8 +132,8 @@
         let length = http.headers().get(CONTENT_LENGTH);
         let length = length.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
         let streaming = match length {
-            Some(length) if length > MAX_BODY => return Err(BodyError::TooLarge),
-            Some(length) => length > MAX_BUFFERED as u64,
+            Some(length) if length > MAX_BODY_BYTES => return Err(BodyError::TooLarge),
+            Some(length) => length > MAX_BUFFERED_BYTES as u64,
             None => http.headers().contains_key(TRANSFER_ENCODING),
         };
         match streaming {
@@ -151,7 +151,7 @@
         let mut body = BytesMut::new();
         while let Some(bytes) = payload.recv().await {
             let bytes = bytes.map_err(|_| BodyError::Broken)?;
-            if body.len() + bytes.len() > MAX_BUFFERED {
+            if body.len() + bytes.len() > MAX_BUFFERED_BYTES {
                 return Err(BodyError::TooLarge);
             }
             body.extend_from_slice(&bytes);
--- a/crates/daemon/src/request/plain/mod.rs
+++ b/crates/daemon/src/request/plain/mod.rs
@@ -24,11 +24,11 @@
 pub(crate) use at_most_once::issue;
 
 /// The largest body of a call, in bytes; larger uploads belong in an object store.
-const MAX_BODY: u64 = 16 << 20;
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
 /// The largest body, in bytes, that is buffered so that the call can be retried or sent by a task
 /// of its own.
-const MAX_BUFFERED: usize = 1 << 20;
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
 pub(crate) async fn call(
     worker: web::types::State<Worker>,
@@ -41,7 +41,7 @@
     // caller sees a failed write instead of the error response.
     let upload = match Upload::open(&http, payload).await {
         Ok(upload) => upload,
-        Err(BodyError::TooLarge) => return refuse::too_large(MAX_BODY),
+        Err(BodyError::TooLarge) => return refuse::too_large(MAX_BODY_BYTES),
         Err(BodyError::Broken) => return refuse::bad_request("bad-body", "send the whole body"),
     };
     let Some(snapshot) = worker.process.serving() else {
--- a/crates/daemon/src/request/relay.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -33,7 +33,7 @@
 const CHUNK_BYTES: usize = 16 * 1024;
 
 /// The most bytes of one answer that are buffered; 65,536 tokens of 128 bytes are half of it.
-const MAX_BUFFERED: usize = 16 << 20;
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
 /// How long a generation continues after its caller has disconnected, so that the caller can resume
 /// it at another entry; callers that reconnect do so within one or two seconds.
@@ -47,6 +47,7 @@
 pub(crate) struct Job {
     pub(crate) admission: Request,
     pub(crate) service: id::Service,
+    /// How long a new attempt may wait for admission.
     pub(crate) patience: Duration,
     pub(crate) options: Options,
     pub(crate) start: Start,
@@ -71,7 +72,7 @@
 pub(crate) struct Relay {
     pub(crate) worker: Worker,
     pub(crate) open: Rc<Open>,
-    pub(crate) lane: Arc<ServiceGate>,
+    pub(crate) gate: Arc<ServiceGate>,
     pub(crate) job: Job,
     pub(crate) session: Session,
     pub(crate) attempt: Attempt,
@@ -95,7 +96,7 @@
 
 /// How an answer ended.
 enum End {
-    Whole,
+    Complete,
     Disconnected,
     Interrupted,
     Refused(Refusal),
@@ -106,7 +107,7 @@
         let end = self.serve().await;
         let request = self.job.admission.id;
         match end {
-            End::Whole => log::info!(request:% = request; "answer whole"),
+            End::Complete => log::info!(request:% = request; "answer whole"),
             End::Disconnected => {
                 log::info!(request:% = request; "caller gone");
                 self.abandon().await;
@@ -133,7 +134,7 @@
     async fn serve(&mut self) -> End {
         loop {
             let kind = match self.stream().await {
-                Ok(()) => return End::Whole,
+                Ok(()) => return End::Complete,
                 Err(Stop::Disconnected) => return End::Disconnected,
                 Err(Stop::Broken(kind)) => kind,
             };
@@ -181,7 +182,7 @@
             let progress = self.attempt.transcoder.feed(&bytes, &mut out);
             let progress = progress.map_err(|_| Stop::Broken(Failure::Malformed))?;
             self.session.receive(self.now(), progress.taken > 0);
-            if self.attempt.transcoder.held() > MAX_BUFFERED {
+            if self.attempt.transcoder.held() > MAX_BUFFERED_BYTES {
                 return Err(Stop::Broken(Failure::Malformed));
             }
             if !out.is_empty() {
@@ -267,13 +268,13 @@
     async fn fail_over(&mut self) -> Result<Result<(), Disconnected>, Refusal> {
         self.cancel_previous();
         self.finish(Outcome::Failed);
-        let until = self.now() + self.job.patience;
+        let deadline = self.now() + self.job.patience;
         loop {
             let mut admission = self.job.admission.clone();
             admission.avoid = Some(self.attempt.target.clone());
             admission.retry = true;
-            admission.deadline = until;
-            let Ok(admitted) = self.writer.wait(self.lane.admit(admission)).await else {
+            admission.deadline = deadline;
+            let Ok(admitted) = self.writer.wait(self.gate.admit(admission)).await else {
                 return Ok(Err(Disconnected));
             };
             let refusal = match admitted {
@@ -286,7 +287,7 @@
             // Admission is retried only for a buffered answer, whose caller may read it a day
             // later: a spent retry budget refills and targets recover meanwhile. Other callers
             // get the refusal at once.
-            if !self.job.options.buffered || self.now() >= until {
+            if !self.job.options.buffered || self.now() >= deadline {
                 return Err(refusal);
             }
             let delay = refusal.retry_after.min(MAX_RETRY_DELAY);
--- a/crates/daemon/src/request/response.rs
+++ b/crates/daemon/src/request/response.rs
@@ -20,7 +20,7 @@
 
 /// Chunks queued for a slow caller before the engine's link is no longer read. A chunk is the result
 /// of one read of that link, so a caller that reads nothing holds a few hundred kilobytes at most.
-const BACKLOG: usize = 4;
+const MAX_QUEUED_CHUNKS: usize = 4;
 
 /// How long a caller may read nothing while chunks are queued for it.
 const SEND_TIMEOUT: Duration = Duration::from_secs(30);
@@ -111,7 +111,7 @@
             return Ok(());
         }
         if let Some(first) = self.first.take() {
-            let (sender, receiver) = mpsc::channel(BACKLOG);
+            let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
             self.chunks = Some(sender);
             return first.send(Reply::Stream(head, receiver)).map_err(|_| Disconnected);
         }
@@ -197,17 +197,17 @@
         if self.is_disconnected() { Err(Disconnected) } else { Ok(()) }
     }
 
-    /// Ends a stream with its end mark.
+    /// Ends a stream with its terminating event.
     pub(crate) async fn done(&mut self) -> Result<(), Disconnected> {
         self.send(format!("data: {DONE}\n\n").into_bytes()).await
     }
 
-    /// Answers with one body.
+    /// Sends the answer as one body.
     pub(crate) fn body(&mut self, head: Head, body: Vec<u8>) {
         self.reply(Reply::Body(head, body));
     }
 
-    /// Answers with problem details, or ends the stream with them.
+    /// Sends problem details as the response, or as an error event where a stream has begun.
     pub(crate) async fn fail(&mut self, problem: Problem) {
         if self.first.is_some() {
             return self.reply(Reply::Failed(problem));
