--- a/crates/daemon/src/request/plain/repeatable.rs
+++ b/crates/daemon/src/request/plain/idempotent.rs
@@ -1,4 +1,4 @@
-//! Calls that may run more than once.
+//! Idempotent calls, which may run more than once.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -22,19 +22,20 @@
 use crate::process::{InFlight, Worker};
 use crate::request::body::Body;
 use crate::request::plain::message::{Message, Upload, end_to_end, patience};
-use crate::request::plain::{MAX_BODY, address, ask};
+use crate::request::plain::{MAX_BODY_BYTES, address, admission};
 use crate::request::refuse;
 use fireflyhoist_gateway::Pass;
 
-/// Tries in all; the gate's retry budget bounds them further when many fail at once.
-const MAX_TRIES: u32 = 3;
+/// Attempts per call; the gate's retry budget limits retries further when many calls fail at once.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// A try is given up after so many of the service's objective for a reply, and another target
-/// asked: a lookup whose connection went silent would else hang its page.
-const SLOW_OBJECTIVES: u32 = 10;
+/// The timeout of one attempt, in multiples of the service's objective for a reply. Another target is
+/// tried after it; otherwise a lookup whose connection went silent would block its page.
+const ATTEMPT_OBJECTIVES: u32 = 10;
 
-/// Bounds of the above.
-const SLOW: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(60));
+/// Bounds of the timeout of one attempt.
+const ATTEMPT_TIMEOUT_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(60));
 
 pub(crate) async fn call(
     worker: &Worker,
@@ -44,27 +45,27 @@
     open: Rc<InFlight>,
 ) -> HttpResponse {
     match upload {
-        Upload::Kept(body) => kept(worker, service, &message, body, open).await,
-        Upload::Arriving(payload) => streamed(worker, service, message, payload, open).await,
+        Upload::Buffered(body) => buffered(worker, service, &message, body, open).await,
+        Upload::Streaming(payload) => streamed(worker, service, message, payload, open).await,
     }
 }
 
-/// Sends a call whose body is kept, again where it fails before any byte of a reply.
-async fn kept(
+/// Sends a call whose body is buffered; retries it where it fails before the first byte of a reply.
+async fn buffered(
     worker: &Worker,
     service: &Service,
     message: &Message,
     body: Bytes,
     open: Rc<InFlight>,
 ) -> HttpResponse {
-    let Some(lane) = worker.process.gate(&service.name) else {
+    let Some(gate) = worker.process.gate(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let watch = worker.process.burn().watch(service);
-    let mut ask = ask(worker, service, message);
+    let mut admission = admission(worker, service, message);
     let mut ran = Ran::No;
-    for attempt in 1..=MAX_TRIES {
-        let pass = match lane.admit(ask.clone()).await {
+    for attempt in 1..=MAX_ATTEMPTS {
+        let pass = match gate.admit(admission.clone()).await {
             Ok(pass) => pass,
             Err(refusal) => {
                 watch.refused();
@@ -72,9 +73,9 @@
             }
         };
         let target = pass.target().clone();
-        ask.avoid = Some(target.clone());
-        ask.retry = true;
-        match try_once(worker, service, message, &body, attempt, &target).await {
+        admission.avoid = Some(target.clone());
+        admission.retry = true;
+        match send_once(worker, service, message, &body, attempt, &target).await {
             Ok(response) => {
                 watch.answered();
                 return reply(&message.method, response, pass, open);
@@ -95,7 +96,7 @@
     refuse::target_failed(ran)
 }
 
-async fn try_once(
+async fn send_once(
     worker: &Worker,
     service: &Service,
     message: &Message,
@@ -109,19 +110,22 @@
             let url = format!("http://{address}{}", message.path);
             worker.client.request(message.method.clone(), url)
         }
-        // The pool may hold more connections that went silent, or that close as they are used.
+        // A retry opens a new connection: the pool may hold more connections that went silent, or
+        // that close on use.
         _ => unpooled(&worker.client, message.method.clone(), address, &message.path),
     };
     let objective = Duration::from_millis(service.objective.first_token_ms);
-    let slow = (objective * SLOW_OBJECTIVES).clamp(SLOW.0, SLOW.1).min(patience(service));
-    match timeout(slow, message.dress(request).send_body(body.clone())).await {
+    let attempt_timeout = (objective * ATTEMPT_OBJECTIVES)
+        .clamp(ATTEMPT_TIMEOUT_BOUNDS.0, ATTEMPT_TIMEOUT_BOUNDS.1)
+        .min(patience(service));
+    match timeout(attempt_timeout, message.add_headers(request).send_body(body.clone())).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) if unwritten(&error) => Err(Ran::No),
         Ok(Err(_)) | Err(()) => Err(Ran::Unknown),
     }
 }
 
-/// Sends a call whose body is too large to keep, as it arrives; it cannot be sent again.
+/// Streams a call whose body is too large to buffer; it cannot be retried.
 async fn streamed(
     worker: &Worker,
     service: &Service,
@@ -129,11 +133,11 @@
     payload: types::Payload,
     open: Rc<InFlight>,
 ) -> HttpResponse {
-    let Some(lane) = worker.process.gate(&service.name) else {
+    let Some(gate) = worker.process.gate(&service.name) else {
         return refuse::not_found("the service has just been removed; see the operators' text");
     };
     let watch = worker.process.burn().watch(service);
-    let pass = match lane.admit(ask(worker, service, &message)).await {
+    let pass = match gate.admit(admission(worker, service, &message)).await {
         Ok(pass) => pass,
         Err(refusal) => {
             watch.refused();
@@ -144,8 +148,8 @@
         return refuse::target_failed(Ran::No);
     };
     let request = unpooled(&worker.client, message.method.clone(), address, &message.path);
-    let body = Bounded { payload: payload.into_inner(), left: MAX_BODY };
-    match message.dress(request).send_stream(body).await {
+    let body = Bounded { payload: payload.into_inner(), remaining: MAX_BODY_BYTES };
+    match message.add_headers(request).send_stream(body).await {
         Ok(response) => {
             watch.answered();
             reply(&message.method, response, pass, open)
@@ -154,14 +158,14 @@
             pass.finish(Outcome::Failed);
             match error {
                 error if unwritten(&error) => refuse::target_failed(Ran::No),
-                ClientError::Error(_) => refuse::broken_upload(MAX_BODY),
+                ClientError::Error(_) => refuse::broken_upload(MAX_BODY_BYTES),
                 _ => refuse::target_failed(Ran::Unknown),
             }
         }
     }
 }
 
-/// Passes a target's reply on as it arrives.
+/// Streams a target's reply to the caller.
 fn reply(
     method: &Method,
     response: ClientResponse,
@@ -189,10 +193,10 @@
     Broken,
 }
 
-/// A body on its way through, which may not exceed a bound.
+/// A streamed body that fails once it exceeds a size limit.
 struct Bounded {
     payload: Payload,
-    left: u64,
+    remaining: u64,
 }
 
 impl Stream for Bounded {
@@ -204,8 +208,9 @@
         };
         Poll::Ready(next.map(|bytes| {
             let bytes = bytes.map_err(|_| UploadError::Broken)?;
-            let left = self.left.checked_sub(bytes.len() as u64).ok_or(UploadError::TooLarge)?;
-            self.left = left;
+            let remaining =
+                self.remaining.checked_sub(bytes.len() as u64).ok_or(UploadError::TooLarge)?;
+            self.remaining = remaining;
             Ok(bytes)
         }))
     }
