--- a/crates/daemon/tests/answer.rs
+++ b/crates/daemon/tests/answer.rs
@@ -1,4 +1,4 @@
-//! One whole answer from one generation, whatever happens to links and engines.
+//! Completeness of streamed answers when links, engines or entries fail.
 
 mod support;
 
@@ -23,8 +23,8 @@
     Some(Order { fault, times: None })
 }
 
-/// A coordinator watches a roster arrive. A link to the engine is cut or goes silent in the
-/// middle. Without a resume the roster would end there, or hang for good.
+/// The link to the engine is cut or goes silent during a streamed answer. Without a resume the
+/// answer would end there or never end.
 #[parameterized(
     cut_before_the_first = { "live", Fault::Cut { at: 0 } },
     cut_midway = { "live", Fault::Cut { at: 30 } },
@@ -38,7 +38,7 @@
     reply_lost = { "live", Fault::LoseReply },
 )]
 #[test_macro(ntex::test)]
-async fn a_broken_link_is_replaced_and_the_same_generation_goes_on(delivery: &str, fault: Fault) {
+async fn a_broken_link_is_replaced_and_the_generation_resumes(delivery: &str, fault: Fault) {
     let (one, engine) = engine();
     let mut fleet = Fleet::open(&text(delivery, 5_000, &[one.address()]));
     let entry = fleet.daemon("brno-1").await;
@@ -51,10 +51,10 @@
     assert_eq!(got.text(), Script::of(SALTED, generation, u64::MAX).text());
 }
 
-/// A page is held until it is complete. Its engine dies halfway; a member who reads the page the
-/// next day must find it whole, and must not find lines of two generations in it.
+/// The engine dies in the middle of an answer with `whole` delivery, which the entry holds until it
+/// is complete. The caller must receive a complete answer with tokens of a single generation.
 #[ntex::test]
-async fn a_whole_answer_outlives_its_engine() {
+async fn a_whole_answer_survives_the_death_of_its_engine() {
     let (one, first) = engine();
     let (two, second) = engine();
     let mut fleet = Fleet::open(&text("whole", 5_000, &[one.address(), two.address()]));
@@ -63,7 +63,7 @@
     let address = entry.http_address();
     first.set_fault(always(Fault::Stall { at: 20 }));
     second.set_fault(always(Fault::Stall { at: 20 }));
-    let asked = ntex::rt::spawn(async move {
+    let request = ntex::rt::spawn(async move {
         let mut got = Transcript::default();
         let ended = got.ask(&client, address, &completion(SALTED), "").await;
         (got, ended)
@@ -72,22 +72,22 @@
     let (dead, alive) = if first.started() == 1 { (&one, &second) } else { (&two, &first) };
     alive.set_fault(None);
     dead.kill().await;
-    let (got, ended) = asked.await.expect("asked");
+    let (got, ended) = request.await.expect("the task ends");
     assert!(matches!(ended, Ended::Whole), "{ended:?}");
     assert_eq!(got.restarts, 0);
     let generation: Generation = got.generation.as_deref().expect("one").parse().expect("id");
     assert_eq!(got.text(), Script::of(SALTED, generation, u64::MAX).text());
 }
 
-/// A roster arrives live and its engine dies after the first sites were shown. Tokens of a second
-/// generation could contradict them, so the caller gets a typed end, or starts anew if it said
-/// that it understands that.
+/// The engine dies after tokens of a `live` answer reached the caller. Tokens of a second
+/// generation could contradict them, so the stream ends with a typed error, or restarts if the
+/// caller declared that it supports restarts.
 #[parameterized(
-    told = { "", false },
+    interrupted = { "", false },
     restarted = { "restart, resume", true },
 )]
 #[test_macro(ntex::test)]
-async fn after_the_first_token_a_live_answer_ends_typed_or_restarts(accept: &str, restarts: bool) {
+async fn engine_death_after_the_first_token_interrupts_or_restarts(accept: &str, restarts: bool) {
     let (one, first) = engine();
     let (two, second) = engine();
     let mut fleet = Fleet::open(&text("live", 5_000, &[one.address(), two.address()]));
@@ -98,19 +98,19 @@
         engine.set_fault(always(Fault::Stall { at: 20 }));
     }
     let accept = accept.to_owned();
-    let asked = ntex::rt::spawn(async move {
+    let request = ntex::rt::spawn(async move {
         let mut got = Transcript::default();
         let ended = got.ask(&client, address, &completion(SALTED), &accept).await;
         (got, ended)
     });
-    let shown = |engine: &Engine| engine.carried_max() >= 20;
-    until(|| shown(&first) || shown(&second)).await;
-    // The tokens are on their way; the engine dies a little later.
+    let streamed = |engine: &Engine| engine.carried_max() >= 20;
+    until(|| streamed(&first) || streamed(&second)).await;
+    // Gives the tokens time to reach the caller before the engine dies.
     ntex::time::sleep(std::time::Duration::from_millis(50)).await;
     let (dead, alive) = if first.started() == 1 { (&one, &second) } else { (&two, &first) };
     alive.set_fault(None);
     dead.kill().await;
-    let (got, ended) = asked.await.expect("asked");
+    let (got, ended) = request.await.expect("the task ends");
     match (restarts, ended) {
         (true, Ended::Whole) => {
             assert_eq!(got.restarts, 1);
@@ -127,19 +127,20 @@
     }
 }
 
-/// An engine declines, or its host is gone, before anything was shown: the caller notices nothing.
+/// An engine refuses the request, or is unreachable, before any token was sent to the caller: the
+/// request fails over to another engine, invisibly to the caller.
 #[parameterized(
-    declines = { false },
-    gone = { true },
+    refused = { false },
+    unreachable = { true },
 )]
 #[test_macro(ntex::test)]
-async fn before_the_first_token_another_engine_answers(gone: bool) {
+async fn failure_before_the_first_token_fails_over(unreachable: bool) {
     let (one, first) = engine();
     let (two, second) = engine();
     let mut fleet = Fleet::open(&text("live", 5_000, &[one.address(), two.address()]));
     let entry = fleet.daemon("oslo-1").await;
     let client = client().await;
-    match gone {
+    match unreachable {
         true => one.kill().await,
         false => first.set_fault(always(Fault::Refuse)),
     }
@@ -154,11 +155,11 @@
     assert_eq!(second.started(), 4);
 }
 
-/// The only engine takes a roster, runs it and its reply is lost each time. No other engine is
-/// there, so the request is refused; but to say that it was not run would be a lie, and the
-/// coordinator would send a second crew.
+/// The only engine runs the request, but its reply is lost. There is no other engine, so the
+/// request is refused; a refusal that claims the request did not run would make the caller repeat
+/// it.
 #[ntex::test]
-async fn a_refusal_after_an_engine_may_have_run_says_so() {
+async fn refusal_after_a_lost_reply_reports_an_unknown_run() {
     let (one, engine) = engine();
     let mut fleet = Fleet::open(&text("live", 5_000, &[one.address()]));
     let entry = fleet.daemon("oslo-1").await;
@@ -170,37 +171,37 @@
     assert_eq!(engine.started(), 1);
 }
 
-/// The engine doubles tokens, sends one that is ahead and one of another stream, or an end mark
-/// that counts too few. None of it may reach the page.
+/// The engine sends duplicate tokens, a token ahead of its position and one of another stream, or
+/// an end mark with too low a token count. None of these may reach the caller.
 #[parameterized(
-    crossed = { "live", Fault::Lie { at: 10 } },
+    wrong_tokens = { "live", Fault::Lie { at: 10 } },
     early_end = { "whole", Fault::EndEarly { at: 10 } },
 )]
 #[test_macro(ntex::test)]
-async fn late_crossed_and_doubled_tokens_fall(delivery: &str, fault: Fault) {
-    let (one, liar) = engine();
-    let (two, honest) = engine();
+async fn wrong_tokens_and_end_marks_are_discarded(delivery: &str, fault: Fault) {
+    let (one, faulty) = engine();
+    let (two, healthy) = engine();
     let mut fleet = Fleet::open(&text(delivery, 5_000, &[one.address(), two.address()]));
     let entry = fleet.daemon("brno-1").await;
-    liar.set_fault(always(fault));
+    faulty.set_fault(always(fault));
     for _ in 0..2 {
         let mut got = Transcript::default();
         let ended = got.ask(&client().await, entry.http_address(), &completion(PROMPT), "").await;
         assert!(matches!(ended, Ended::Whole), "{ended:?}");
         assert_eq!(got.text(), expected(PROMPT));
     }
-    assert!(liar.started() > 0 && honest.started() > 0, "both were asked");
+    assert!(faulty.started() > 0 && healthy.started() > 0, "both engines received a request");
 }
 
-/// The entry dies while a roster arrives. The coordinator's program goes to another entry with the
-/// handle that it was given, and the roster goes on at the next token of the same generation.
+/// The caller loses its entry during an answer and presents its resume handle to another entry,
+/// which must continue at the next token of the same generation.
 #[parameterized(
     nothing_received = { 0 },
     midway = { 25 },
     all_but_the_end_mark = { 60 },
 )]
 #[test_macro(ntex::test)]
-async fn any_entry_goes_on_where_another_left_off(received: usize) {
+async fn another_entry_resumes_an_answer_by_its_handle(received: usize) {
     let (one, engine) = engine();
     let mut fleet = Fleet::open(&text("live", 5_000, &[one.address()]));
     let first = fleet.daemon("oslo-1").await;
@@ -217,10 +218,11 @@
     assert_eq!(got.text(), Script::of(SALTED, generation, u64::MAX).text());
 }
 
-/// A caller goes away for good in the middle of a long answer. The engine would go on for nobody,
-/// so it is told; but not before the caller has had time to come back elsewhere.
+/// The caller disconnects for good in the middle of a long answer. The entry must cancel the
+/// generation, or the engine would keep running it; it does so only after a grace period in which
+/// the caller can resume at another entry.
 #[ntex::test]
-async fn what_nobody_waits_for_is_cancelled() {
+async fn an_abandoned_generation_is_cancelled() {
     let (one, engine) = support::paced(20_000);
     let mut fleet = Fleet::open(&text("live", 5_000, &[one.address()]));
     let entry = fleet.daemon("oslo-1").await;
@@ -231,9 +233,9 @@
     until(|| engine.cancelled() == 1).await;
 }
 
-/// A caller that wants one body instead of events gets the whole text in it.
+/// A caller that does not ask for a stream gets the whole text in one body.
 #[ntex::test]
-async fn an_answer_without_events_is_one_body() {
+async fn an_unstreamed_answer_is_one_body() {
     let (one, engine) = engine();
     let mut fleet = Fleet::open(&text("live", 5_000, &[one.address()]));
     let entry = fleet.daemon("oslo-1").await;
@@ -254,23 +256,24 @@
         }
         ntex::time::sleep(std::time::Duration::from_millis(5)).await;
     }
-    panic!("it never came about");
+    panic!("the condition was not met in time");
 }
 
-/// Somebody changes a handle, uses it for another workspace or sends a position of another answer,
-/// to read a page that is not theirs. Each is refused with a remedy and no engine is asked.
+/// A resume handle is altered, truncated, used for another workspace or sent with a position of
+/// another answer. Accepting one would expose an answer of somebody else; each must be refused, and
+/// no engine may receive a request.
 #[parameterized(
-    changed = { |h: &str| h.replace("~t0~", "~t1~"), "default", None, 400, "bad-handle" },
-    cut_short = { |h: &str| h[..60].to_owned(), "default", None, 400, "bad-handle" },
-    foreign = { |h: &str| h.to_owned(), "bremen", None, 403, "foreign-handle" },
-    crossed = {
+    altered = { |h: &str| h.replace("~t0~", "~t1~"), "default", None, 400, "bad-handle" },
+    truncated = { |h: &str| h[..60].to_owned(), "default", None, 400, "bad-handle" },
+    other_workspace = { |h: &str| h.to_owned(), "bremen", None, 403, "foreign-handle" },
+    other_answer = {
         |h: &str| h.to_owned(), "default", Some("00000000000000000000000000000001:5"), 400,
         "bad-position"
     },
-    no_position = { |h: &str| h.to_owned(), "default", Some("last"), 400, "bad-position" },
+    malformed_position = { |h: &str| h.to_owned(), "default", Some("last"), 400, "bad-position" },
 )]
 #[test_macro(ntex::test)]
-async fn a_handle_that_does_not_belong_is_refused(
+async fn an_invalid_handle_or_position_is_refused(
     change: fn(&str) -> String,
     workspace: &str,
     last: Option<&str>,
@@ -298,14 +301,14 @@
     assert_eq!(engine.started(), 1);
 }
 
-/// A host is being replaced while a long page is on its way to a member on a slow line. The page
-/// arrives whole; new work is refused meanwhile, truthfully and with the addresses to use.
+/// An entry drains while it streams a long answer. The answer must arrive complete; new requests
+/// are refused as not run, with the addresses of the entries to use.
 #[parameterized(
     live = { "live" },
     whole = { "whole" },
 )]
 #[test_macro(ntex::test)]
-async fn a_drain_cuts_nothing(delivery: &str) {
+async fn a_drain_cuts_no_answer(delivery: &str) {
     const LONG: &str = "the Hansa tokens=30000";
     let (one, engine) = support::paced(20);
     let mut fleet = Fleet::open(&text(delivery, 5_000, &[one.address()]));
@@ -313,7 +316,7 @@
     let client = client().await;
     let address = leaving.http_address();
     let asking = client.clone();
-    let asked = ntex::rt::spawn(async move {
+    let request = ntex::rt::spawn(async move {
         let mut got = Transcript::default();
         let ended = got.ask(&asking, address, &completion(LONG), "").await;
         (got, ended)
@@ -325,13 +328,13 @@
         match got.ask(&client, address, &completion(PROMPT), "").await {
             Ended::Refused(problem) => {
                 assert_eq!((problem.kind.as_str(), problem.ran), ("leaving", Ran::No));
-                assert!(problem.entries.is_some(), "the list comes along");
+                assert!(problem.entries.is_some(), "the refusal lists the entries");
                 break;
             }
             ended => assert!(matches!(ended, Ended::Whole), "{ended:?}"),
         }
     }
-    let (got, ended) = asked.await.expect("asked");
+    let (got, ended) = request.await.expect("the task ends");
     assert!(matches!(ended, Ended::Whole), "{ended:?}");
     assert_eq!(got.texts.len(), 30_000);
     drained.await.expect("drained");
--- a/crates/daemon/tests/matrix.rs
+++ b/crates/daemon/tests/matrix.rs
@@ -1,8 +1,8 @@
 //! The fault matrix: every fault of a link or engine at every step of an exchange.
 //!
-//! Each cell is a service of its own in one text, with one engine behind a link that strikes at
-//! the cell's step and another that is sound. A cell is judged by what its caller received and by
-//! how many generations its engines began.
+//! Each cell is a service of its own in one text, with one engine behind a link that injects the
+//! cell's fault at its step and another engine behind a healthy link. A cell is checked by what its
+//! caller received and by how many generations its engines started.
 
 mod support;
 
@@ -23,7 +23,7 @@
 /// Tokens of each answer.
 const LENGTH: u64 = 12;
 
-/// Requests after which the engine behind the link must have been chosen.
+/// Requests within which the engine behind the faulty link must have been chosen.
 const MAX_REQUESTS: usize = 24;
 
 const STEPS: [Step; 9] = [
@@ -43,10 +43,10 @@
     whole: bool,
     plan: Plan,
     link: Link,
-    sound: Link,
+    healthy: Link,
 }
 
-/// What a cell's caller must receive, and how many generations may begin for it.
+/// What a cell's caller must receive, and how many generations must start for it.
 struct Expected {
     whole: bool,
     runs: usize,
@@ -54,26 +54,26 @@
 
 impl Cell {
     fn expected(&self) -> Expected {
-        let shown = matches!(self.plan.step, Step::Token(_));
-        let begun = shown || matches!(self.plan.step, Step::Sent | Step::Accepted);
+        let streamed = matches!(self.plan.step, Step::Token(_));
+        let started = streamed || matches!(self.plan.step, Step::Sent | Step::Accepted);
         match self.plan.strike {
-            // Another link carries on with the one generation.
+            // The generation resumes over a new connection.
             Strike::Cut | Strike::Silent => Expected { whole: true, runs: 1 },
-            Strike::Die if shown && !self.whole => Expected { whole: false, runs: 1 },
-            Strike::Die => Expected { whole: true, runs: 1 + usize::from(begun) },
+            Strike::Die if streamed && !self.whole => Expected { whole: false, runs: 1 },
+            Strike::Die => Expected { whole: true, runs: 1 + usize::from(started) },
         }
     }
 
-    /// Asks until the link has struck, and judges every answer.
-    async fn judge(&self, client: &Client, address: SocketAddr, engines: [&Engine; 2]) {
+    /// Sends requests until the link has injected its fault, and checks every answer.
+    async fn check(&self, client: &Client, address: SocketAddr, engines: [&Engine; 2]) {
         for n in 0..MAX_REQUESTS {
             let before = self.link.strikes();
             let prompt = format!("{} {n} tokens={LENGTH} salt", self.service);
             let body = Completion { model: self.service.as_str().into(), ..completion(&prompt) };
             let mut got = Transcript::default();
             let ended = got.ask(client, address, &body, "").await;
-            let struck = self.link.strikes() > before || self.plan.step == Step::BeforeConnect;
-            let expected = match struck {
+            let injected = self.link.strikes() > before || self.plan.step == Step::BeforeConnect;
+            let expected = match injected {
                 true => self.expected(),
                 false => Expected { whole: true, runs: 1 },
             };
@@ -89,8 +89,8 @@
                 assert!(script.starts_with(&got.text()), "{name}: {}", got.text());
             }
             let runs: usize = engines.iter().map(|engine| engine.started_of(&prompt)).sum();
-            assert_eq!(runs, expected.runs, "{name}: generations begun");
-            if struck && self.link.strikes() >= self.plan.times {
+            assert_eq!(runs, expected.runs, "{name}: generations started");
+            if injected && self.link.strikes() >= self.plan.times {
                 return;
             }
         }
@@ -110,7 +110,7 @@
             (Strike::Die, 1),
         ] {
             for step in STEPS {
-                // Without a connection there is nothing to cut or to go silent.
+                // Before the connection exists it can be neither cut nor silent.
                 if step == Step::BeforeConnect && strike != Strike::Die {
                     continue;
                 }
@@ -120,7 +120,7 @@
                     whole,
                     plan,
                     link: Link::open(engines[0], Some(plan), streams).expect("link"),
-                    sound: Link::open(engines[1], None, streams).expect("link"),
+                    healthy: Link::open(engines[1], None, streams).expect("link"),
                 });
             }
         }
@@ -132,12 +132,12 @@
     let mut text = "revision = 1\n".to_owned();
     for (n, cell) in cells.iter().enumerate() {
         let delivery = if cell.whole { "whole" } else { "live" };
-        let (link, sound) = (cell.link.address(), cell.sound.address());
+        let (link, healthy) = (cell.link.address(), cell.healthy.address());
         let _ = write!(
             text,
             "[[service]]\nname = \"{}\"\ndelivery = \"{delivery}\"\npatience_ms = 10000\n\
              target = [{{ name = \"a{n}\", host = \"m\", address = \"{link}\" }},\n\
-             {{ name = \"b{n}\", host = \"m\", address = \"{sound}\" }}]\n\
+             {{ name = \"b{n}\", host = \"m\", address = \"{healthy}\" }}]\n\
              [service.objective]\nbetween_tokens_ms = 10\n",
             cell.service
         );
@@ -145,11 +145,11 @@
     text
 }
 
-/// A link is cut, goes silent, or its engine dies for good, once or twice, at each step from the
-/// connection to the end mark. Whatever the cell, a caller never receives a token twice, out of
-/// order or of two generations, and no generation is begun that the rules do not call for.
+/// A link is cut or goes silent, once or twice, or its engine dies for good, at each step from the
+/// connection to the end mark. In no cell may a caller receive a token twice, out of order or of
+/// two generations, and exactly as many generations must start as the fault requires.
 #[ntex::test]
-async fn every_fault_of_a_link_at_every_step() {
+async fn link_faults_at_every_step_duplicate_no_token() {
     let (one, first) = engine();
     let (two, second) = engine();
     let cells = cells([one.address(), two.address()]);
@@ -157,11 +157,11 @@
     let daemon = fleet.daemon("brno-1").await;
     let client = client().await;
     let address = daemon.http_address();
-    join_all(cells.iter().map(|cell| cell.judge(&client, address, [&first, &second]))).await;
+    join_all(cells.iter().map(|cell| cell.check(&client, address, [&first, &second]))).await;
 }
 
-/// An entry is killed (SIGKILL) while an answer arrives, at each step at which its caller can
-/// tell. The caller takes its handle to another entry, which goes on with the one generation.
+/// An entry is killed (SIGKILL) during an answer, at each step that its caller can observe. The
+/// caller presents its handle to another entry, which must resume the same generation.
 #[ntex::test]
 async fn an_entry_killed_at_any_step_loses_no_answer() {
     let (_platform, platform) = standin("platform", &[]);
@@ -193,11 +193,12 @@
     drop(engine_process);
 }
 
-/// An entry is paused (SIGSTOP) while an answer arrives. Its caller hears nothing, not even a
-/// comment, and goes on at another entry; then the paused one wakes and still believes that it
-/// serves that caller. Its late cancel must not end what has been taken up elsewhere.
+/// An entry is paused (SIGSTOP) during an answer. Its caller receives nothing, not even a
+/// keep-alive comment, and resumes at another entry; then the paused entry continues and still
+/// holds the old call. Its late cancel must not end the generation that the other entry has
+/// resumed.
 #[ntex::test]
-async fn an_entry_that_pauses_and_wakes_loses_no_answer() {
+async fn the_late_cancel_of_a_paused_entry_ends_no_answer() {
     let (_platform, platform) = standin("platform", &[]);
     let (_engine, engine) = standin("engine", &["--between-us", "100000"]);
     let paused = entry("oslo-1", "sal-a", platform);
@@ -218,7 +219,7 @@
     got.leave_after = Some(6);
     let ended = got.ask(&client, other.http, &body, "").await;
     assert!(matches!(ended, Ended::Cut), "{ended:?}");
-    // The one that wakes cancels after its grace of 3 s; the answer takes 7 s.
+    // The continued entry cancels after its grace period of 3 s; the answer takes 7 s.
     got.leave_after = None;
     paused.process.wake();
     let ended = got.ask(&client, other.http, &body, "").await;
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated run at most once, whatever happens around them.
+//! At-most-once execution of calls to services that are not idempotent.
 
 mod support;
 
@@ -31,14 +31,14 @@
     response.json::<Ticket>().await.expect("a ticket").ticket.to_string()
 }
 
-/// What a caller was told about a call.
+/// What a caller received for a call.
 #[derive(Debug, PartialEq, Eq)]
-enum Told {
+enum Outcome {
     Reply { body: String, replayed: bool },
     Refused { kind: String, ran: Ran },
 }
 
-impl Told {
+impl Outcome {
     fn refused(kind: &str, ran: Ran) -> Self {
         Self::Refused { kind: kind.to_owned(), ran }
     }
@@ -48,7 +48,7 @@
     }
 }
 
-async fn dispatch(client: &Client, entry: SocketAddr, ticket: &str) -> Told {
+async fn dispatch(client: &Client, entry: SocketAddr, ticket: &str) -> Outcome {
     call(client, entry, "dispatch", "default", ticket, "at dawn").await
 }
 
@@ -59,7 +59,7 @@
     workspace: &str,
     ticket: &str,
     body: &'static str,
-) -> Told {
+) -> Outcome {
     let mut request = client
         .post(format!("http://{entry}/s/{service}/crew?ward=3"))
         .header(WORKSPACE_HEADER, workspace);
@@ -70,26 +70,26 @@
     let replayed = response.headers().contains_key(REPLAYED_HEADER);
     if !response.status().is_success() {
         let problem: Problem = response.json().await.expect("problem details");
-        return Told::refused(&problem.kind, problem.ran);
+        return Outcome::refused(&problem.kind, problem.ran);
     }
     let body = response.body().await.expect("body");
-    Told::Reply { body: String::from_utf8_lossy(&body).into_owned(), replayed }
+    Outcome::Reply { body: String::from_utf8_lossy(&body).into_owned(), replayed }
 }
 
-/// A supervisor's program sends a crew and does not know about tickets. It is told what to do, and
-/// no crew goes out.
+/// A client calls a service that is not idempotent without a ticket. The refusal must name the
+/// remedy, and the call must not run.
 #[ntex::test]
-async fn without_a_ticket_the_remedy_is_named_and_nothing_runs() {
+async fn a_call_without_a_ticket_is_refused_and_not_run() {
     let (target, service) = plain();
     let mut fleet = Fleet::open(&plain_text(&[target.address()], &[]));
     let entry = fleet.daemon("oslo-1").await;
-    let told = dispatch(&client().await, entry.http_address(), "").await;
-    assert_eq!(told, Told::refused("ticket-needed", Ran::No));
+    let outcome = dispatch(&client().await, entry.http_address(), "").await;
+    assert_eq!(outcome, Outcome::refused("ticket-needed", Ran::No));
     assert_eq!(service.calls(), 0);
 }
 
-/// The answer to a dispatch is lost on its way, so the program sends it again, to the entry that
-/// gave the ticket and to others. One crew goes out, and each repeat gets the first reply.
+/// A client repeats a call with the same ticket, at the issuer of the ticket and at other entries.
+/// The call must run once, and each repeat must get the first reply.
 #[ntex::test]
 async fn a_ticket_runs_once_wherever_it_is_presented() {
     let (target, service) = plain();
@@ -99,24 +99,24 @@
     until_listed(&fleet, 2).await;
     let client = client().await;
     let ticket = ticket(&client, one.http_address(), "dispatch").await;
-    assert_eq!(dispatch(&client, two.http_address(), &ticket).await, Told::sent(false));
-    assert_eq!(dispatch(&client, one.http_address(), &ticket).await, Told::sent(true));
-    assert_eq!(dispatch(&client, two.http_address(), &ticket).await, Told::sent(true));
+    assert_eq!(dispatch(&client, two.http_address(), &ticket).await, Outcome::sent(false));
+    assert_eq!(dispatch(&client, one.http_address(), &ticket).await, Outcome::sent(true));
+    assert_eq!(dispatch(&client, two.http_address(), &ticket).await, Outcome::sent(true));
     assert_eq!(service.calls(), 1);
 }
 
-/// A ticket is made up, changed, or used for another service, workspace or body than its own. Each
-/// would run a call that its issuer does not know to have run.
+/// A ticket is forged, or used for another service, workspace or body than its own. Each would run
+/// a call that the issuer of the ticket has no record of.
 #[parameterized(
-    made_up = { "oslo-1~0~1~9~00", "dispatch", "default", "at dawn", "bad-ticket" },
+    forged = { "oslo-1~0~1~9~00", "dispatch", "default", "at dawn", "bad-ticket" },
     empty_fields = { "~~~~", "dispatch", "default", "at dawn", "bad-ticket" },
     other_service = { "", "payroll", "default", "at dawn", "bad-ticket" },
     other_workspace = { "", "dispatch", "bergen", "at dawn", "bad-ticket" },
     other_body = { "", "dispatch", "default", "at dusk", "crossed-ticket" },
 )]
 #[test_macro(ntex::test)]
-async fn a_ticket_that_does_not_fit_runs_nothing(
-    made_up: &str,
+async fn a_forged_or_misused_ticket_runs_nothing(
+    forged: &str,
     service: &str,
     workspace: &str,
     body: &'static str,
@@ -127,22 +127,22 @@
     let entry = fleet.daemon("oslo-1").await.http_address();
     let client = client().await;
     let good = ticket(&client, entry, "dispatch").await;
-    assert_eq!(dispatch(&client, entry, &good).await, Told::sent(false));
-    let used = if made_up.is_empty() { &good } else { made_up };
-    let told = call(&client, entry, service, workspace, used, body).await;
-    assert_eq!(told, Told::refused(kind, Ran::No));
+    assert_eq!(dispatch(&client, entry, &good).await, Outcome::sent(false));
+    let used = if forged.is_empty() { &good } else { forged };
+    let outcome = call(&client, entry, service, workspace, used, body).await;
+    assert_eq!(outcome, Outcome::refused(kind, Ran::No));
     assert_eq!(plain.calls(), 1);
 }
 
-/// The target reads a dispatch, sends the crew, and its connection breaks before it replies. The
-/// HTTP client calls that a failed connect; to believe it would send a second crew.
+/// The target reads and runs a call, and its connection breaks before it replies. The HTTP client
+/// reports that as a failed connect; retrying on that error would run the call twice.
 #[parameterized(
     cut = { Strike::Cut },
     silent = { Strike::Silent },
     target_dies = { Strike::Die },
 )]
 #[test_macro(ntex::test)]
-async fn a_written_call_is_never_written_again(strike: Strike) {
+async fn a_written_call_is_never_retried(strike: Strike) {
     let (one, first) = plain();
     let (two, second) = plain();
     let plan = Plan { step: Step::Sent, strike, times: 2 };
@@ -155,16 +155,17 @@
     let client = client().await;
     let ticket = ticket(&client, entry, "dispatch").await;
     for _ in 0..2 {
-        let told = dispatch(&client, entry, &ticket).await;
-        assert_eq!(told, Told::refused("target-failed", Ran::Unknown));
+        let outcome = dispatch(&client, entry, &ticket).await;
+        assert_eq!(outcome, Outcome::refused("target-failed", Ran::Unknown));
     }
     assert_eq!(first.calls() + second.calls(), 1);
 }
 
-/// The first target's host is gone. Nothing was written there, so the other one may run the call.
-/// With all gone the call has not run, is told so, and its ticket still works later.
+/// The first target is unreachable. Nothing was written to it, so the call may fail over to the
+/// other. With both unreachable the refusal must say that the call did not run, and the ticket must
+/// stay usable.
 #[ntex::test]
-async fn a_call_that_was_not_written_may_go_elsewhere() {
+async fn an_unwritten_call_fails_over_and_keeps_its_ticket() {
     let (one, first) = plain();
     let (two, second) = plain();
     let mut fleet = Fleet::open(&plain_text(&[one.address(), two.address()], &[]));
@@ -173,23 +174,23 @@
     one.kill().await;
     for _ in 0..2 {
         let ticket = ticket(&client, entry, "dispatch").await;
-        assert_eq!(dispatch(&client, entry, &ticket).await, Told::sent(false));
+        assert_eq!(dispatch(&client, entry, &ticket).await, Outcome::sent(false));
     }
     assert_eq!((first.calls(), second.calls()), (0, 2));
     let address = two.address();
     two.kill().await;
     let ticket = ticket(&client, entry, "dispatch").await;
-    let told = dispatch(&client, entry, &ticket).await;
-    assert!(matches!(told, Told::Refused { ran: Ran::No, .. }), "{told:?}");
-    let (_back, third) = Plain::bind(address).expect("the target comes back");
-    // A target that failed may be left alone for a while; the refusals meanwhile are truthful.
+    let outcome = dispatch(&client, entry, &ticket).await;
+    assert!(matches!(outcome, Outcome::Refused { ran: Ran::No, .. }), "{outcome:?}");
+    let (_restarted, third) = Plain::bind(address).expect("the target restarts");
+    // A failed target may be in backoff for a while; refusals until then must say `Ran::No`.
     for _ in 0..200 {
         match dispatch(&client, entry, &ticket).await {
-            Told::Refused { ran: Ran::No, .. } => {
+            Outcome::Refused { ran: Ran::No, .. } => {
                 ntex::time::sleep(Duration::from_millis(50)).await
             }
-            told => {
-                assert_eq!(told, Told::sent(false));
+            outcome => {
+                assert_eq!(outcome, Outcome::sent(false));
                 break;
             }
         }
@@ -197,11 +198,11 @@
     assert_eq!(third.calls(), 1);
 }
 
-/// The supervisor's phone loses its network while the crew is being sent, and tries again: while
-/// the first is still running, and after. The library drops the first handler at once, so without
-/// a task of its own nobody would ever note that the call ended.
+/// A client disconnects while its call runs and retries, first while the call still runs and then
+/// after it ended. The HTTP library drops the handler of a closed connection at once, so the call
+/// must run in a task of its own, or its result would never be recorded.
 #[ntex::test]
-async fn a_caller_that_vanishes_leaves_the_truth_behind() {
+async fn the_result_of_a_call_survives_its_callers_disconnect() {
     let (target, service) = plain();
     let mut fleet = Fleet::open(&plain_text(&[target.address()], &[]));
     let entry = fleet.daemon("oslo-1").await.http_address();
@@ -219,13 +220,13 @@
         until(|| service.calls() == 1).await;
         drop(gone);
     }
-    let told = dispatch(&client, entry, &ticket).await;
-    assert_eq!(told, Told::refused("still-running", Ran::Unknown));
+    let outcome = dispatch(&client, entry, &ticket).await;
+    assert_eq!(outcome, Outcome::refused("still-running", Ran::Unknown));
     for _ in 0..200 {
         match dispatch(&client, entry, &ticket).await {
-            Told::Refused { .. } => ntex::time::sleep(Duration::from_millis(10)).await,
-            told => {
-                assert_eq!(told, Told::sent(true));
+            Outcome::Refused { .. } => ntex::time::sleep(Duration::from_millis(10)).await,
+            outcome => {
+                assert_eq!(outcome, Outcome::sent(true));
                 break;
             }
         }
@@ -233,10 +234,10 @@
     assert_eq!(service.calls(), 1);
 }
 
-/// The entry that gave the ticket and ran its call is replaced on the same address. The new one
-/// has forgotten what ran; it must not run it again, nor may any other.
+/// The issuer of a ticket restarts on the same address after it ran the call. The new process has
+/// no record of the call, so neither it nor any other entry may run the call again.
 #[ntex::test]
-async fn a_restart_on_the_same_address_honours_no_old_ticket() {
+async fn a_restarted_issuer_refuses_its_old_tickets() {
     let (target, service) = plain();
     let mut fleet = Fleet::open(&plain_text(&[target.address()], &[]));
     let one = fleet.daemon("oslo-1").await;
@@ -246,28 +247,29 @@
     let (http, peer) = (one.http_address(), one.peer_address());
     let used = ticket(&client, http, "dispatch").await;
     let unused = ticket(&client, http, "dispatch").await;
-    assert_eq!(dispatch(&client, http, &used).await, Told::sent(false));
+    assert_eq!(dispatch(&client, http, &used).await, Outcome::sent(false));
     one.drain().await;
     let mut settings = support::settings("oslo-1", fleet.running.address());
     (settings.listen, settings.peer_listen) = (http, peer);
-    let again = Daemon::bind(settings).await.expect("the same address");
+    let restarted = Daemon::bind(settings).await.expect("the same address");
     fireflyhoist_harness::until_ready(&client, http).await;
-    for entry in [again.http_address(), two.http_address()] {
+    for entry in [restarted.http_address(), two.http_address()] {
         for ticket in [&used, &unused] {
-            let told = dispatch(&fireflyhoist_harness::client().await, entry, ticket).await;
-            assert_eq!(told, Told::refused("issuer-gone", Ran::Unknown));
+            let outcome = dispatch(&fireflyhoist_harness::client().await, entry, ticket).await;
+            assert_eq!(outcome, Outcome::refused("issuer-gone", Ran::Unknown));
         }
     }
     assert_eq!(service.calls(), 1);
 }
 
-/// The entry that gave the ticket has left the fleet or does not answer.
+/// The issuer of the ticket has left the fleet, or is listed but does not answer. Nobody else knows
+/// whether the call ran, so it must not run.
 #[parameterized(
     unlisted = { false },
     dead = { true },
 )]
 #[test_macro(ntex::test)]
-async fn a_ticket_of_an_entry_that_is_gone_runs_nothing(listed: bool) {
+async fn a_ticket_of_a_lost_issuer_runs_nothing(listed: bool) {
     let (target, service) = plain();
     let mut fleet = Fleet::open(&plain_text(&[target.address()], &[]));
     let one = fleet.daemon("oslo-1").await;
@@ -280,12 +282,12 @@
         fleet.list("oslo-1", old);
     }
     let two = fleet.daemon("oslo-2").await;
-    let told = dispatch(&client, two.http_address(), &ticket).await;
-    assert_eq!(told, Told::refused("issuer-gone", Ran::Unknown));
+    let outcome = dispatch(&client, two.http_address(), &ticket).await;
+    assert_eq!(outcome, Outcome::refused("issuer-gone", Ran::Unknown));
     assert_eq!(service.calls(), 0);
 }
 
-/// Waits until each daemon has read the list with this many entries.
+/// Waits until each daemon lists this many entries; gives up on a daemon after 3,000 polls.
 async fn until_listed(fleet: &Fleet, entries: usize) {
     let client = client().await;
     for host in &fleet.hosts.hosts {
@@ -309,5 +311,5 @@
         }
         ntex::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("it never came about");
+    panic!("the condition was not met in time");
 }
