--- a/crates/daemon/tests/batching.rs
+++ b/crates/daemon/tests/batching.rs
@@ -1,4 +1,4 @@
-//! Answers through an engine whose memory fills in the middle of generations.
+//! Answers of an engine whose memory fills up during generations.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use ntex::client::Client;
 
-/// Streams whose peaks together are several times the engine's memory.
+/// Streams whose peak memory adds up to several times the engine's memory.
 const STREAMS: usize = 12;
 
 async fn ask(client: &Client, entry: SocketAddr, number: usize) -> (String, Vec<String>, bool) {
@@ -20,11 +20,11 @@
     (prompt, texts, done)
 }
 
-/// Members send a dozen pages at once to a single engine whose memory holds a quarter of them.
-/// Streams that the engine preempts are computed again inside it, so their tokens come late; every
-/// page must still arrive whole, each token once and in order.
+/// Twelve streams run at once on a single engine whose memory holds a quarter of them. The engine
+/// preempts streams and recomputes them, so their tokens come late; every answer must still arrive
+/// complete, each token once and in order.
 #[ntex::test]
-async fn pages_stay_whole_when_the_engines_memory_fills() {
+async fn preemption_on_a_full_engine_loses_or_repeats_no_token() {
     let (_platform, platform) = standin("platform", &[]);
     let (_engine, engine) = standin("batching", &["--memory", "300", "--step-us", "500"]);
     let daemon = entry("brno-1", "hala-a", platform);
--- a/crates/daemon/tests/day.rs
+++ b/crates/daemon/tests/day.rs
@@ -1,4 +1,4 @@
-//! A working day in small: a manifest page, a roster and a thousand lookups through three daemons.
+//! Mixed traffic through three daemons: two streamed answers beside a thousand plain calls.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 
 const LOOKUPS: usize = 1_000;
 
-/// Lookups in flight at once; a search page's worth, far below any bound.
+/// Lookups in flight at once, far below any limit.
 const IN_FLIGHT: usize = 25;
 
 async fn generate(client: &Client, entry: SocketAddr, service: &str, prompt: &str) {
@@ -40,11 +40,11 @@
     }
 }
 
-/// Overnight a member's 60-line page is transcribed while a coordinator's roster of 20 sites is
-/// drafted and the search pages ask a thousand lookups; each goes through any of three daemons and
-/// every byte of every answer is compared.
+/// Guards against mixed-up or corrupted answers under mixed traffic. A 60-line answer with `whole`
+/// delivery, a live answer of 20 lines and a thousand plain lookups go through three daemons at
+/// once, and every byte of every answer is compared.
 #[ntex::test]
-async fn three_daemons_serve_a_page_a_roster_and_a_thousand_lookups() {
+async fn mixed_traffic_through_three_daemons_corrupts_no_answer() {
     let (_platform, platform) = standin("platform", &[]);
     let (_engines, engines): (Vec<_>, Vec<SocketAddr>) =
         (0..3).map(|_| standin("engine", &[])).unzip();
--- a/crates/daemon/tests/fleet/mod.rs
+++ b/crates/daemon/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A platform and daemons, each a process of its own, and a relay that can fall silent.
+//! A platform that runs as a process of its own, and a relay that can stop forwarding.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some items")]
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The platform of one test, and a client.
+/// The platform process of one test, and an HTTP client.
 pub(crate) struct Fleet {
     _platform: Process,
     pub(crate) platform: SocketAddr,
@@ -42,21 +42,23 @@
         self.put("hosts", host_list_at(sequence, entries, leaving), "application/json").await;
     }
 
-    /// Reads a path of a daemon until the answer's body holds `words`.
-    pub(crate) async fn until(&self, address: SocketAddr, path: &str, words: &str) -> String {
+    /// Polls a path of a daemon until the response body contains `expected`, which it returns.
+    ///
+    /// Panics after 3,000 polls.
+    pub(crate) async fn until(&self, address: SocketAddr, path: &str, expected: &str) -> String {
         let mut last = String::new();
         for _ in 0..3_000 {
             let response = self.client.get(format!("http://{address}{path}")).send().await;
             if let Ok(response) = response {
                 let body = response.body().await.unwrap_or_default();
                 last = String::from_utf8_lossy(&body).into_owned();
-                if last.contains(words) {
+                if last.contains(expected) {
                     return last;
                 }
             }
             ntex::time::sleep(std::time::Duration::from_millis(10)).await;
         }
-        panic!("{path} of {address} says {last:?}, not {words:?}");
+        panic!("{path} of {address} returned {last:?}, which lacks {expected:?}");
     }
 }
 
@@ -75,10 +77,10 @@
     text
 }
 
-/// Passes connections on to `to`, until those open at a moment are made silent for good.
+/// Forwards connections to `to`; those open when [`Relay::silence`] is called stay silent for good.
 pub(crate) struct Relay {
     pub(crate) address: SocketAddr,
-    era: Arc<AtomicUsize>,
+    epoch: Arc<AtomicUsize>,
     opened: Arc<AtomicUsize>,
 }
 
@@ -86,45 +88,48 @@
     pub(crate) async fn open(to: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("bound");
         let address = listener.local_addr().expect("an address");
-        let (era, opened) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-        let (eras, count) = (Arc::clone(&era), Arc::clone(&opened));
+        let (epoch, opened) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+        let (epochs, count) = (Arc::clone(&epoch), Arc::clone(&opened));
         ntex::rt::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
                 count.fetch_add(1, Ordering::AcqRel);
                 let Ok(far) = TcpStream::connect(to).await else { continue };
-                let born = eras.load(Ordering::Acquire);
+                let opened_in = epochs.load(Ordering::Acquire);
                 let (near, far) = (near.into_split(), far.into_split());
-                pass(near.0, far.1, Arc::clone(&eras), born);
-                pass(far.0, near.1, Arc::clone(&eras), born);
+                forward(near.0, far.1, Arc::clone(&epochs), opened_in);
+                forward(far.0, near.1, Arc::clone(&epochs), opened_in);
             }
         })
         .detach();
-        Self { address, era, opened }
+        Self { address, epoch, opened }
     }
 
-    /// Lets no byte more through on the connections that are open now, and closes none of them.
+    /// Stops forwarding on all open connections without closing them.
+    ///
+    /// Returns the number of connections opened so far.
     pub(crate) fn silence(&self) -> usize {
-        self.era.fetch_add(1, Ordering::AcqRel);
+        self.epoch.fetch_add(1, Ordering::AcqRel);
         self.opened.load(Ordering::Acquire)
     }
 
-    /// Connections ever opened.
+    /// Returns the number of connections opened so far.
     pub(crate) fn opened(&self) -> usize {
         self.opened.load(Ordering::Acquire)
     }
 }
 
-fn pass(
+fn forward(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
-    eras: Arc<AtomicUsize>,
-    born: usize,
+    epochs: Arc<AtomicUsize>,
+    opened_in: usize,
 ) {
     ntex::rt::spawn(async move {
         let mut buffer = [0; 4096];
         while let Ok(count) = from.read(&mut buffer).await {
-            if eras.load(Ordering::Acquire) != born {
-                // Held open and silent, as where something between the ends lost track of it.
+            if epochs.load(Ordering::Acquire) != opened_in {
+                // Kept open without traffic, as when a middlebox on the path has lost the
+                // connection's state.
                 return std::future::pending().await;
             }
             if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,4 +1,4 @@
-//! A workspace's limits hold over all entries, judged by what callers receive.
+//! Limits of a workspace hold across all entries, as seen by callers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -23,10 +23,10 @@
     request.header(WORKSPACE_HEADER, workspace).send_json(&body).await.expect("an answer")
 }
 
-/// One workspace opens streams through both entries as fast as it can, ten at each. Without a limit
-/// that holds over entries it gets twice what the operators allow, and the others' pages wait.
+/// One workspace opens streams through both entries as fast as it can, ten at each. If each entry
+/// enforced the limit alone, the workspace would get twice its limit and delay other workspaces.
 #[ntex::test]
-async fn a_workspace_gets_its_streams_once_through_two_entries() {
+async fn two_entries_do_not_double_the_stream_limit() {
     let (running, platform) = Platform::bind(ANY).expect("the platform listens");
     let pace = Pace { between: Duration::from_millis(20), ..Pace::default() };
     let (engine_running, engine) = Engine::bind(ANY, pace).expect("an engine listens");
@@ -56,13 +56,16 @@
         }
     }
     assert_eq!(open.len(), 4);
-    assert_eq!(engine.started(), 4, "what is refused touches no target");
+    assert_eq!(engine.started(), 4, "a refused request reaches no target");
     for response in refused {
         assert_eq!(response.status().as_u16(), 429);
-        let after = response.headers().get("retry-after").expect("when to come back");
+        let after = response.headers().get("retry-after").expect("a retry-after header");
         assert!(after.to_str().expect("text").parse::<u64>().expect("seconds") >= 1);
         let problem: Problem = response.json().await.expect("problem details");
         assert_eq!(problem.ran, Ran::No);
     }
-    assert!(ask(&client, one.http, "members").await.status().is_success(), "others are served");
+    assert!(
+        ask(&client, one.http, "members").await.status().is_success(),
+        "other workspaces are served"
+    );
 }
--- a/crates/daemon/tests/malformed_http.rs
+++ b/crates/daemon/tests/malformed_http.rs
@@ -1,4 +1,4 @@
-//! Bad HTTP gets a 4xx at once and harms nobody else.
+//! Malformed HTTP requests get a 4xx and do not affect other callers.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,11 +7,11 @@
 use fireflyhoist_harness::{client, entry, host_list, read_answer, standin, until_ready};
 use ntex::client::Client;
 
-/// Sends bytes as they are and returns what comes back.
+/// Sends raw bytes and returns the response.
 fn raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("connected");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
-    // The server may answer and close before it has read all; that is no fault of this test.
+    // The server may respond and close before it has read everything, so a write error is expected.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
     let mut chunk = [0; 4096];
@@ -40,7 +40,7 @@
     .into_bytes()
 }
 
-async fn good(client: &Client, address: SocketAddr) {
+async fn assert_valid_request_is_served(client: &Client, address: SocketAddr) {
     let body = serde_json::json!({"model": "scan", "prompt": "tokens=3", "stream": true});
     let url = format!("http://{address}/v1/completions");
     let response = client.post(url).send_json(&body).await.expect("sent");
@@ -48,10 +48,10 @@
     assert_eq!((texts.len(), done), (3, true));
 }
 
-/// A broken client of one member sends rubbish of every kind, again and again. Each time it must be
-/// told so at once, and the page that another member asks for right after must be served.
+/// Clients send malformed, oversized, slow or unauthorized requests. Each must be refused with its
+/// 4xx status, and a valid request right after it must be served.
 #[ntex::test]
-async fn rubbish_is_refused_and_the_next_caller_is_served() {
+async fn malformed_requests_are_refused_and_the_next_is_served() {
     let (_platform, platform) = standin("platform", &[]);
     let (_engine, engine) = standin("engine", &[]);
     let host = entry("m-brno-1", "hala-a", platform);
@@ -74,15 +74,15 @@
     let many_headers = format!("GET /healthz HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(20_000));
     let name = "x".repeat(65);
     let cases: Vec<(&str, Vec<u8>, &str)> = vec![
-        ("no http", b"rubbish\r\n\r\n".to_vec(), "400"),
+        ("not http", b"rubbish\r\n\r\n".to_vec(), "400"),
         ("binary", vec![0xff; 4096], "400"),
         ("line too long", long_line.into_bytes(), "4"),
         ("headers too many", many_headers.into_bytes(), "4"),
-        ("no json", post("not json", ""), "400"),
+        ("not json", post("not json", ""), "400"),
         ("empty body", post("", ""), "400"),
-        ("json cut", post(r#"{"model": "scan", "#, ""), "400"),
-        ("json deep", post(&deep, ""), "400"),
-        ("prompt a number", post(r#"{"model": "scan", "prompt": 7}"#, ""), "400"),
+        ("truncated json", post(r#"{"model": "scan", "#, ""), "400"),
+        ("deeply nested json", post(&deep, ""), "400"),
+        ("numeric prompt", post(r#"{"model": "scan", "prompt": 7}"#, ""), "400"),
         ("no prompt", post(r#"{"model": "scan"}"#, ""), "400"),
         (
             "tokens negative",
@@ -93,8 +93,8 @@
         ("not utf-8", [&post("12", "")[..], b"\xff\xfe"].concat(), "400"),
         ("too large", post(&huge, ""), "413"),
         ("service unknown", post(r#"{"model": "mail", "prompt": ""}"#, ""), "404"),
-        ("service no name", post(r#"{"model": "A B", "prompt": ""}"#, ""), "404"),
-        ("workspace no name", post(valid, "fireflyhoist-workspace: A B\r\n"), "400"),
+        ("invalid service name", post(r#"{"model": "A B", "prompt": ""}"#, ""), "404"),
+        ("invalid workspace name", post(valid, "fireflyhoist-workspace: A B\r\n"), "400"),
         ("workspace long", post(valid, &format!("fireflyhoist-workspace: {name}\r\n")), "400"),
         ("key unknown", post(valid, "authorization: Bearer nobody\r\n"), "401"),
         ("handle forged", post(valid, "fireflyhoist-resume: rubbish\r\n"), "400"),
@@ -114,16 +114,16 @@
         let address = host.http;
         let answer = ntex::rt::spawn_blocking(move || raw(address, &bytes)).await;
         let answer = answer.expect("the caller ends");
-        let told = answer.starts_with(&format!("HTTP/1.1 {status}"));
-        assert!(told, "{name}: expected {status}, got {answer:?}");
-        if name == "prompt a number" {
+        let refused = answer.starts_with(&format!("HTTP/1.1 {status}"));
+        assert!(refused, "{name}: expected {status}, got {answer:?}");
+        if name == "numeric prompt" {
             assert!(answer.contains("the body does not fit: invalid type: integer"), "{answer}");
         }
-        good(&client, host.http).await;
+        assert_valid_request_is_served(&client, host.http).await;
     }
-    // A caller that goes away in the middle of its request can be told nothing.
-    let mut gone = TcpStream::connect(host.http).expect("connected");
-    gone.write_all(&post(valid, "")[..120]).expect("sent");
-    drop(gone);
-    good(&client, host.http).await;
+    // A caller that disconnects in the middle of its request gets no response.
+    let mut disconnected = TcpStream::connect(host.http).expect("connected");
+    disconnected.write_all(&post(valid, "")[..120]).expect("sent");
+    drop(disconnected);
+    assert_valid_request_is_served(&client, host.http).await;
 }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A small fleet in one process: a platform, engines and daemons on loopback.
+//! A fleet within the test process: a platform, engines and daemons on loopback.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some items")]
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use fireflyhoist_wire::caller::Completion;
 use fireflyhoist_wire::platform::{Host, Hosts, Listen, State};
 
-/// Any free port of loopback.
+/// A loopback address whose port the system chooses.
 pub(crate) const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// The platform of one test.
+/// The platform of one test and the host list that it publishes.
 pub(crate) struct Fleet {
     pub(crate) running: Running,
     pub(crate) platform: Arc<Platform>,
@@ -28,12 +28,12 @@
 impl Fleet {
     pub(crate) fn open(text: &str) -> Self {
         let (running, platform) = Platform::bind(ANY).expect("platform");
-        fireflyhoist_text::Text::parse(text).expect("the test's text is right");
+        fireflyhoist_text::Text::parse(text).expect("the test's text is valid");
         platform.publish(text);
         Self { running, platform, hosts: Hosts { sequence: 1, hosts: Vec::new() } }
     }
 
-    /// Starts a daemon in this process and publishes it.
+    /// Starts a daemon in this process, lists it and waits until it is ready.
     pub(crate) async fn daemon(&mut self, name: &str) -> Daemon {
         let daemon = Daemon::bind(settings(name, self.running.address())).await.expect("daemon");
         let listen = Listen { http: daemon.http_address(), peer: daemon.peer_address() };
@@ -46,7 +46,7 @@
         daemon
     }
 
-    /// Publishes an entry host.
+    /// Adds an entry host to the host list and publishes the list.
     pub(crate) fn list(&mut self, name: &str, listen: Listen) {
         self.hosts.hosts.push(Host {
             name: name.parse().expect("name"),
@@ -70,7 +70,7 @@
 
 /// A text with one model service on these engines.
 ///
-/// The objective of 5 ms between tokens makes 100 ms without a byte a silent link.
+/// With its objective of 5 ms between tokens, a link counts as silent after 100 ms without a byte.
 pub(crate) fn text(delivery: &str, patience_ms: u64, engines: &[SocketAddr]) -> String {
     let targets: Vec<String> = engines
         .iter()
@@ -87,12 +87,12 @@
     )
 }
 
-/// An engine that works fast.
+/// Starts an engine with 2 ms from token to token.
 pub(crate) fn engine() -> (Running, Arc<Engine>) {
     paced(2_000)
 }
 
-/// An engine with this many microseconds from token to token.
+/// Starts an engine with this many microseconds from token to token.
 pub(crate) fn paced(micros: u64) -> (Running, Arc<Engine>) {
     let between = Duration::from_micros(micros);
     let pace = Pace { first: Duration::from_millis(2), between, ..Pace::default() };
@@ -108,13 +108,13 @@
     }
 }
 
-/// The answer that an engine gives to a prompt without salt.
+/// Returns the answer of an engine to a prompt without salt.
 pub(crate) fn expected(prompt: &str) -> String {
     Script::of(prompt, Generation::new(0), u64::MAX).text()
 }
 
-/// A text with plain services: `dispatch` and `payroll`, whose calls may not be repeated, and
-/// `search`, whose calls may; 200 ms without a reply are too slow for it.
+/// A text with plain services: `dispatch` and `payroll`, which are not idempotent, and `search`,
+/// which is; a call to `search` times out after 200 ms without a reply.
 pub(crate) fn plain_text(dispatch: &[SocketAddr], search: &[SocketAddr]) -> String {
     let list = |prefix: &str, targets: &[SocketAddr]| -> String {
         let named = targets.iter().enumerate().map(|(n, address)| {
@@ -122,9 +122,9 @@
         });
         named.collect::<Vec<_>>().join(", ")
     };
-    let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-    let other = SocketAddr::from((Ipv4Addr::LOCALHOST, 2));
-    let search = if search.is_empty() { &[other] } else { search };
+    let closed = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    let other_closed = SocketAddr::from((Ipv4Addr::LOCALHOST, 2));
+    let search = if search.is_empty() { &[other_closed] } else { search };
     format!(
         "revision = 1\n\
          [[workspace]]\nname = \"default\"\n[[workspace]]\nname = \"bergen\"\n\
@@ -135,19 +135,19 @@
          [[service]]\nname = \"search\"\nkind = \"plain\"\npatience_ms = 2000\ntarget = [{}]\n\
          [service.objective]\nfirst_token_ms = 20\n",
         list("d", dispatch),
-        list("p", &[nowhere]),
+        list("p", &[closed]),
         list("s", search)
     )
 }
 
-/// Sends bytes as they are and keeps the connection open.
+/// Sends raw bytes and returns the open connection.
 pub(crate) fn raw(address: SocketAddr, bytes: &str) -> std::net::TcpStream {
     let mut stream = std::net::TcpStream::connect(address).expect("connected");
     std::io::Write::write_all(&mut stream, bytes.as_bytes()).expect("written");
     stream
 }
 
-/// A target that hands over the first bytes of each connection and answers nothing.
+/// Starts a target that sends the first bytes of each connection to the receiver and never replies.
 pub(crate) fn recorder() -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
     let listener = std::net::TcpListener::bind(ANY).expect("port");
     let address = listener.local_addr().expect("address");
