--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership among daemons that are processes of their own.
+//! Membership among daemons that run as separate processes.
 
 mod fleet;
 
@@ -9,11 +9,11 @@
 use futures_util::{SinkExt, StreamExt};
 use tokio_tungstenite::tungstenite::Message;
 
-/// A page goes to an entry that is being replaced and is refused or lost. The entry drains while a
-/// long answer still runs; the others must hand it out no more, though it lives and the platform
-/// still lists it.
+/// Callers are sent to an entry that is shutting down, and their requests are refused or lost. The
+/// entry drains while a long answer still runs; the others must stop listing it, although it is
+/// alive and the platform still lists it.
 #[ntex::test]
-async fn a_draining_entry_is_handed_out_no_more() {
+async fn a_draining_entry_is_no_longer_listed() {
     let fleet = Fleet::open().await;
     let (_engine, engine) = standin("engine", &["--between-us", "20000"]);
     let (a, b) = (entry("m-1", "d-1", fleet.platform), entry("m-2", "d-2", fleet.platform));
@@ -35,10 +35,10 @@
     drop(running);
 }
 
-/// The platform says that a host is leaving; the daemon on it must refuse new work by itself, with
-/// the entries to use instead, and all others must hand it out no more.
+/// The platform marks a host as leaving. The daemon on that host must refuse new requests on its
+/// own, naming the entries to use instead, and all others must stop listing it.
 #[ntex::test]
-async fn a_host_that_the_platform_takes_back_refuses_new_work() {
+async fn an_entry_on_a_leaving_host_refuses_new_requests() {
     let fleet = Fleet::open().await;
     let (a, b) = (entry("p-1", "d-1", fleet.platform), entry("p-2", "d-2", fleet.platform));
     fleet.hosts(1, &[&a, &b], &[]).await;
@@ -51,9 +51,10 @@
     assert!(refusal.contains("\"p-1\"") && refusal.contains("\"no\""), "{refusal}");
 }
 
-/// Callers are sent to an entry that was killed. Nobody said goodbye; it must be missed.
+/// Callers are sent to an entry that was killed. It announced no shutdown, so the others must
+/// detect the failure and stop listing it.
 #[ntex::test]
-async fn a_killed_entry_is_handed_out_no_more() {
+async fn a_killed_entry_is_no_longer_listed() {
     let fleet = Fleet::open().await;
     let (a, mut b) = (entry("k-1", "d-1", fleet.platform), entry("k-2", "d-2", fleet.platform));
     fleet.hosts(1, &[&a, &b], &[]).await;
@@ -63,10 +64,10 @@
     until_listed(&fleet.client, a.http, &["k-1"]).await;
 }
 
-/// An entry sleeps through its own burial and wakes with old facts. It is stopped until the others
-/// miss it, then goes on: it must notice, ask before it is ready, and be handed out again.
+/// An entry is paused until the others consider it dead, and continues with stale state. It must
+/// detect the pause, ask its peers before it reports ready, and be listed again.
 #[ntex::test]
-async fn a_stopped_entry_notices_and_is_taken_in_again() {
+async fn a_paused_entry_detects_it_and_is_listed_again() {
     let fleet = Fleet::open().await;
     let (a, b) = (entry("s-1", "d-1", fleet.platform), entry("s-2", "d-2", fleet.platform));
     fleet.hosts(1, &[&a, &b], &[]).await;
@@ -82,8 +83,8 @@
     until_listed(&fleet.client, b.http, &["s-1", "s-2"]).await;
 }
 
-/// Two entries lose sight of each other for good though both are well: the connection between them
-/// went silent and new ones work. It must be replaced, and neither be taken for dead.
+/// The connection between two healthy entries goes silent for good, while new connections work. It
+/// must be replaced, or the two would lose contact for good; neither may be considered dead.
 #[ntex::test]
 async fn a_silent_link_is_replaced() {
     let fleet = Fleet::open().await;
@@ -99,18 +100,19 @@
     while to_a.opened() + to_b.opened() == before {
         if std::time::Instant::now() >= end {
             let status = fleet.until(a.http, "/v1/status", "").await;
-            panic!("no new link; l-1 says {status}");
+            panic!("no new link; status of l-1: {status}");
         }
         ntex::time::sleep(std::time::Duration::from_millis(20)).await;
     }
-    // News crosses the new link: what one learns reaches the other.
+    // A membership change must reach the other entry over the new link.
     b.process.term();
     until_listed(&fleet.client, a.http, &["l-1"]).await;
 }
 
-/// A stranger that reaches the port must be told nothing, taken for no member, and logged.
+/// A peer without the key connects to the peer port. It must receive no data after the challenge,
+/// must not become a member, and must be logged.
 #[ntex::test]
-async fn a_stranger_is_refused_and_logged() {
+async fn an_unauthenticated_peer_is_refused_and_logged() {
     let fleet = Fleet::open().await;
     let a = entry("x-1", "d-1", fleet.platform);
     let stream = tokio::net::TcpStream::connect(a.peer).await.expect("connected");
@@ -124,7 +126,10 @@
     let hello = peer::encode(&Frame::Hello { host, challenge: ours, proof });
     socket.send(Message::binary(hello)).await.expect("sent");
     let answer = socket.next().await;
-    assert!(!matches!(answer, Some(Ok(Message::Binary(_)))), "a stranger got {answer:?}");
+    assert!(
+        !matches!(answer, Some(Ok(Message::Binary(_)))),
+        "an unauthenticated peer got {answer:?}"
+    );
     let line = a.process.line("stranger refused");
     assert!(line.contains("peer_key"), "{line}");
 }
--- a/crates/daemon/tests/operators.rs
+++ b/crates/daemon/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators read of a daemon: status, burn, metrics.
+//! What operators read from a daemon: status, SLO burn rates and metrics.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     serde_json::from_str(&page(client, address, "/v1/status").await).expect("a status")
 }
 
-/// Waits until a status satisfies a condition and returns it.
+/// Polls the status until it satisfies a condition, and returns it; panics after 1,000 polls.
 async fn until(
     client: &Client,
     address: SocketAddr,
@@ -36,10 +36,10 @@
         }
         ntex::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("the status stayed {:?}", status(client, address).await);
+    panic!("the status is still {:?}", status(client, address).await);
 }
 
-/// The host list with more hosts, each of which runs the one target of `scan`.
+/// Adds hosts to a host list, each of which runs the one target of `scan`.
 fn list_with(list: &str, engine: SocketAddr, hosts: &[(&str, &str)]) -> String {
     let mut list: serde_json::Value = serde_json::from_str(list).expect("a list");
     let serving = serde_json::json!({"service": "scan", "target": "t1", "address": engine});
@@ -52,11 +52,12 @@
     list.to_string()
 }
 
-/// An operator publishes a text whose targets come from the host list, serves a page, publishes a
-/// text with a typing error, and then the engine's host is about to be taken back. Status, burn
-/// and metrics must tell each of these, and the good text stays in force throughout.
+/// Guards against status, burn rates or metrics that miss what a daemon does. An operator publishes
+/// a text whose targets come from the host list, an answer is served, an invalid text is published,
+/// and the engine's host is marked as leaving and then replaced. Each step must be reported, and
+/// the valid text must stay in force throughout.
 #[ntex::test]
-async fn operators_read_what_a_daemon_does() {
+async fn status_burn_and_metrics_report_each_change() {
     let (_platform, platform) = standin("platform", &[]);
     let (_engine, engine) = standin("engine", &[]);
     let host = entry("brno-1", "hala-a", platform);
@@ -76,7 +77,7 @@
     let body = serde_json::json!({"model": "scan", "prompt": "tokens=300", "stream": true});
     let url = format!("http://{}/v1/completions", host.http);
     let response = client.post(url).send_json(&body).await.expect("sent");
-    let request = response.headers().get(REQUEST_HEADER).expect("named").clone();
+    let request = response.headers().get(REQUEST_HEADER).expect("a request id").clone();
     assert_eq!(read_answer(response).await.0.len(), 300);
     let logged = host.process.value("request");
     assert_eq!(logged, request.to_str().expect("an id"), "the log names the request");
@@ -91,10 +92,10 @@
     assert!(metrics.contains("fireflyhoist_revision 3"), "{metrics}");
     assert!(metrics.contains("fireflyhoist_first_token_seconds_count{service=\"scan\"} 1"));
 
-    let wrong = text.replace("revision = 3", "revision = 4").replace("hosts", "host");
-    put(&client, publish("text"), wrong, "text/plain").await;
+    let invalid = text.replace("revision = 3", "revision = 4").replace("hosts", "host");
+    put(&client, publish("text"), invalid, "text/plain").await;
     let seen = until(&client, host.http, |s| s.refused.is_some()).await;
-    assert!(seen.refused.expect("said").contains("line 4: `\"host\"` is no choice here"));
+    assert!(seen.refused.expect("a reason").contains("line 4: `\"host\"` is no choice here"));
     assert_eq!(seen.in_force.expect("in force").revision, 3);
 
     put(
@@ -113,10 +114,11 @@
     assert_eq!((seen.targets.len(), seen.targets[0].unused.clone()), (1, None));
 }
 
-/// Nothing listens any more where one of two engines was. Calls to it fail at once, so it always
-/// looks idle; after a few it is left out for a while, and an operator must be told which and why.
+/// Nothing listens at the address of one of two engines. Calls to it fail at once, so it always
+/// looks idle; after a few failures it is ejected for a while, and the status must name it and the
+/// reason.
 #[ntex::test]
-async fn status_tells_which_target_is_ejected_and_why() {
+async fn status_names_an_ejected_target_and_the_reason() {
     let (_platform, platform) = standin("platform", &[]);
     let (_engine, engine) = standin("engine", &[]);
     let closed = {
@@ -135,7 +137,7 @@
     put(&client, publish("text"), text, "text/plain").await;
     until_ready(&client, host.http).await;
     let mut seen = status(&client, host.http).await;
-    // After each failure the target rests for a second; three in a row put it out.
+    // After each failure the target is in backoff for a second; three in a row eject it.
     for _ in 0..400 {
         if seen.targets[0].unused.is_some() {
             break;
@@ -147,7 +149,7 @@
         ntex::time::sleep(Duration::from_millis(20)).await;
         seen = status(&client, host.http).await;
     }
-    let reason = seen.targets[0].unused.clone().expect("said");
+    let reason = seen.targets[0].unused.clone().expect("a reason");
     assert!(reason.starts_with("its calls fail; tried again in"), "{reason}");
     assert_eq!(seen.targets[1].unused, None);
 }
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Daemons order engines, with orders lost, doubled and late on real connections.
+//! Daemons send load orders to engines over real connections on which orders are lost, doubled and
+//! late.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -47,7 +48,7 @@
         ));
     }
 
-    /// The versions that the engines serve, each `None` while it serves nothing.
+    /// Returns the version that each engine serves, `None` for one that serves nothing.
     fn held(&self) -> Vec<Option<String>> {
         let held = |(_, engine): &(SocketAddr, Arc<Engine>)| {
             engine.orders().observe().holds.map(|setup| setup.version.to_string())
@@ -55,7 +56,10 @@
         self.engines.iter().map(held).collect()
     }
 
-    /// Waits until all engines serve `version`; returns the fewest that served anything meanwhile.
+    /// Waits until all engines serve `version` and returns the lowest number that served any
+    /// version in the meantime.
+    ///
+    /// Panics after 3,000 polls.
     async fn until(&self, version: &str) -> usize {
         let mut fewest = self.engines.len();
         for _ in 0..3_000 {
@@ -66,15 +70,16 @@
             }
             ntex::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("not all engines came to serve {version}: {:?}", self.held());
+        panic!("not all engines serve {version}: {:?}", self.held());
     }
 }
 
-/// An operator submits a new model version. Engines of the transcription service are ordered by two
-/// daemons; one order is lost, one doubled and one held until a later one overtakes it, while the
-/// senders are told that all is well. Members' pages must find most engines serving all the time.
+/// Two daemons roll out a new model version to the engines of a service. One engine loses an order,
+/// one receives an order twice and one receives it after a later order, while the senders get
+/// success replies. At least three of the four engines must serve throughout, each engine must load
+/// once per version, and its fences must never go back.
 #[ntex::test]
-async fn a_new_version_rolls_through_lost_doubled_and_late_orders() {
+async fn a_rollout_survives_lost_doubled_and_late_orders() {
     let faults = [None, Some(Fault::Lose), Some(Fault::Double), Some(Fault::Late)];
     let setting = |fault| Setting { load_ms: 100, fault, ..Setting::default() };
     let fleet = Fleet::open("order", &faults.map(setting));
@@ -84,12 +89,12 @@
         fleet.publish(2, true);
         fleet.until("v2").await
     };
-    assert!(fewest >= 3, "only {fewest} of 4 served while the service rolled");
-    for (at, (_, engine)) in fleet.engines.iter().enumerate() {
+    assert!(fewest >= 3, "only {fewest} of 4 served during the rollout");
+    for (index, (_, engine)) in fleet.engines.iter().enumerate() {
         let orders = engine.orders().orders();
-        assert_eq!(orders.loads(), 2, "engine {at} loaded once for each version");
+        assert_eq!(orders.loads(), 2, "engine {index} loaded once for each version");
         let fences: Vec<_> = orders.taken().iter().map(|order| order.fence).collect();
-        assert!(fences.is_sorted(), "engine {at} took {fences:?}");
+        assert!(fences.is_sorted(), "engine {index} took {fences:?}");
     }
     assert_eq!(fleet.entries.len(), 2);
 }
--- a/crates/daemon/tests/overload.rs
+++ b/crates/daemon/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Overload and a slow engine through HTTP, counting only what callers receive.
+//! Overload and a slow engine over HTTP, as seen by callers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -27,11 +27,11 @@
     client.post(url).send_json(&body).await.expect("an answer")
 }
 
-/// Publishes a live service with these engines and waits until the entry is ready.
+/// Publishes a service of class `live` with these engines and waits until the entry is ready.
 async fn publish(platform: &Platform, entry: &Entry, patience_ms: u64, engines: &[SocketAddr]) {
     platform.set_hosts(serde_json::from_str(&host_list(&[entry])).expect("a host list"));
-    let target = |(at, address): (usize, &SocketAddr)| {
-        format!("{{ name = \"t{at}\", host = \"m{at}\", address = \"{address}\" }},")
+    let target = |(index, address): (usize, &SocketAddr)| {
+        format!("{{ name = \"t{index}\", host = \"m{index}\", address = \"{address}\" }},")
     };
     let targets: String = engines.iter().enumerate().map(target).collect();
     platform.publish(&format!(
@@ -41,11 +41,11 @@
     until_ready(&client().await, entry.http).await;
 }
 
-/// All coordinators of a morning ask at once, many times what one engine can hold. Some wait, and
-/// whoever is served gets a whole answer; whoever is not is told so, with when to come back, and
-/// the engine has never seen that request.
+/// Sixty requests arrive at once, many times what one engine can hold. Some of them queue. Each
+/// served request must get a complete answer; each refused one must get a retry-after time and must
+/// never have reached the engine.
 #[ntex::test]
-async fn overload_gives_whole_answers_or_refusals_that_touched_no_engine() {
+async fn overload_cuts_no_answer_and_refusals_reach_no_engine() {
     let (running, platform) = Platform::bind(ANY).expect("the platform listens");
     let shape = Shape { memory: 400, ..Shape::default() };
     let (engine_running, engine) = Engine::bind_batching(ANY, shape).expect("an engine listens");
@@ -67,7 +67,7 @@
                 return true;
             }
             assert_eq!(response.status().as_u16(), 503);
-            let after = response.headers().get("retry-after").expect("when to come back");
+            let after = response.headers().get("retry-after").expect("a retry-after header");
             assert!(after.to_str().expect("text").parse::<u64>().expect("seconds") >= 1);
             let problem: Problem = response.json().await.expect("problem details");
             assert_eq!(problem.ran, Ran::No);
@@ -76,13 +76,13 @@
     });
     let served = join_all(calls).await.into_iter().filter(|whole| *whole).count();
     assert!((1..60).contains(&served), "{served} of 60 were served");
-    assert_eq!(engine.started(), served, "what is refused touches no engine");
+    assert_eq!(engine.started(), served, "a refused request reaches no engine");
 }
 
-/// One of two engines takes a tenth of a second for each token. Every roster still arrives whole,
-/// and most are written by the other engine.
+/// One of two engines takes 100 ms for each token. Every answer must still arrive complete, and the
+/// faster engine must serve more of the requests.
 #[ntex::test]
-async fn a_slow_engine_receives_less_and_every_answer_is_whole() {
+async fn a_slow_engine_receives_fewer_requests_and_cuts_none() {
     let (running, platform) = Platform::bind(ANY).expect("the platform listens");
     let slow = Pace { between: Duration::from_millis(100), ..Pace::default() };
     let (slow_running, slow) = Engine::bind(ANY, slow).expect("an engine listens");
@@ -108,6 +108,6 @@
     });
     join_all(callers).await;
     let (slow, fast) = (slow.started(), fast.started());
-    assert_eq!(slow + fast, 24, "each ran once");
-    assert!(fast > slow, "{fast} at the fast one, {slow} at the slow one");
+    assert_eq!(slow + fast, 24, "each request ran once");
+    assert!(fast > slow, "{fast} requests at the fast engine, {slow} at the slow one");
 }
--- a/crates/daemon/tests/plain.rs
+++ b/crates/daemon/tests/plain.rs
@@ -1,4 +1,4 @@
-//! Plain calls: streamed both ways, bounded, and tried again only where that is harmless.
+//! Plain calls: streamed in both directions, bounded, and retried only where that is safe.
 
 mod support;
 
@@ -20,24 +20,24 @@
 }
 
 async fn fleet(search: &[SocketAddr]) -> (Fleet, fireflyhoist_daemon::Daemon) {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 3));
-    let mut fleet = Fleet::open(&plain_text(&[nowhere], search));
+    let closed = SocketAddr::from(([127, 0, 0, 1], 3));
+    let mut fleet = Fleet::open(&plain_text(&[closed], search));
     let daemon = fleet.daemon("brno-1").await;
     (fleet, daemon)
 }
 
-/// A member's search page makes a lookup while its target's connection breaks. Lookups simply have
-/// to answer, and running one twice harms nobody, so another target is asked.
+/// The connection to the target breaks during an idempotent call. Running it twice is harmless, so
+/// it must be retried at another target.
 #[parameterized(
     before_it_is_written = { Step::Connected, Strike::Cut },
     partly_written = { Step::Partly, Strike::Cut },
     written = { Step::Sent, Strike::Cut },
     silent_after_it_is_written = { Step::Sent, Strike::Silent },
     target_dies = { Step::Sent, Strike::Die },
-    target_gone = { Step::BeforeConnect, Strike::Die },
+    target_unreachable = { Step::BeforeConnect, Strike::Die },
 )]
 #[test_macro(ntex::test)]
-async fn a_lookup_outlives_its_connection(step: Step, strike: Strike) {
+async fn an_idempotent_call_is_retried_after_its_connection_breaks(step: Step, strike: Strike) {
     let (one, _first) = plain();
     let (two, second) = plain();
     let plan = Plan { step, strike, times: 1 };
@@ -51,18 +51,18 @@
         assert_eq!(&body[..], format!("GET /villages?q={n}\n").as_bytes());
     }
     assert!(second.calls() > 0);
-    assert_eq!(link.strikes(), 1, "the fault came about");
+    assert_eq!(link.strikes(), 1, "the fault was injected");
 }
 
-/// Every target is gone or silent: the caller hears so, and whether the call may have run.
+/// Every target is unreachable or silent. The error must say whether the call may have run.
 #[parameterized(
-    gone = { true, Ran::No },
+    unreachable = { true, Ran::No },
     written = { false, Ran::Unknown },
 )]
 #[test_macro(ntex::test)]
-async fn a_failed_call_says_whether_it_may_have_run(gone: bool, ran: Ran) {
+async fn a_failed_call_reports_whether_it_may_have_run(unreachable: bool, ran: Ran) {
     let (one, service) = plain();
-    match gone {
+    match unreachable {
         true => one.kill().await,
         false => service.set_fault(Some(Order { fault: Fault::LoseReply, times: None })),
     }
@@ -74,13 +74,13 @@
     assert_eq!(problem.ran, ran);
 }
 
-/// A scanned page of 200 kB goes up and comes back, in one piece and in chunks of unknown number.
+/// A body of 200 kB must pass unchanged in both directions, with a content length and chunked.
 #[parameterized(
-    announced = { false },
+    content_length = { false },
     chunked = { true },
 )]
 #[test_macro(ntex::test)]
-async fn bodies_pass_both_ways(chunked: bool) {
+async fn bodies_pass_unchanged_in_both_directions(chunked: bool) {
     let (one, _service) = plain();
     let (_fleet, entry) = fleet(&[one.address()]).await;
     let page = vec![b'x'; 200_000];
@@ -99,9 +99,10 @@
     assert_eq!(&body[..], [b"POST /scan\n".as_slice(), &page].concat());
 }
 
-/// Headers of one hop end at the entry, and the workspace's key is not shown to targets.
+/// Hop-by-hop headers and proxy credentials must not leak from the caller to a target; other
+/// headers and the request id must reach it.
 #[ntex::test]
-async fn headers_of_one_hop_and_keys_stay_at_the_entry() {
+async fn hop_by_hop_headers_and_credentials_do_not_reach_targets() {
     let (listener, seen) = support::recorder();
     let (_fleet, entry) = fleet(&[listener]).await;
     let _caller = support::raw(
@@ -115,8 +116,8 @@
         head = seen.try_recv().unwrap_or_default();
     }
     let head = head.to_ascii_lowercase();
-    for gone in ["\nx-secret", "\nte:", "\nproxy-authorization"] {
-        assert!(!head.contains(gone), "{gone} in {head}");
+    for dropped in ["\nx-secret", "\nte:", "\nproxy-authorization"] {
+        assert!(!head.contains(dropped), "{dropped} in {head}");
     }
     assert!(head.contains("x-kept: 3") && head.contains("fireflyhoist-request: "), "{head}");
 }
--- a/crates/daemon/tests/removed.rs
+++ b/crates/daemon/tests/removed.rs
@@ -1,4 +1,4 @@
-//! A service that a new text removes while requests wait for it.
+//! Removal of a service while requests are queued for it.
 
 mod support;
 
@@ -9,14 +9,14 @@
 use fireflyhoist_standin::engine::Engine;
 use fireflyhoist_wire::problem::{Problem, Ran};
 
-/// A memory that one answer fills, so that the next has to wait at the entry.
+/// Engine memory that one answer fills, so that the next request has to queue at the entry.
 const MEMORY: u64 = 150;
 
-/// A member's page waits behind another while operators publish a text without the service. The
-/// entry drops the service's queue; without an answer at once the waiting member would never hear
-/// anything. The page that had begun must still arrive whole.
+/// A request is queued behind another when a new text removes its service. The entry drops the
+/// service's queue; unless it refuses the queued request at once, that caller never gets a
+/// response. The answer that is already streaming must still arrive complete.
 #[ntex::test]
-async fn a_waiting_request_is_answered_when_its_service_is_removed() {
+async fn a_queued_request_is_refused_when_its_service_is_removed() {
     let shape = Shape { memory: MEMORY, base: 10_000.0, ..Shape::default() };
     let (engine, state) = Engine::bind_batching(support::ANY, shape).expect("engine");
     let text = support::text("whole", 60_000, &[engine.address()]);
@@ -30,24 +30,24 @@
         ntex::rt::spawn(async move { request.send_json(&support::completion(prompt)).await })
     };
 
-    let begun = ask("first tokens=120");
+    let running = ask("first tokens=120");
     while state.started_of("first tokens=120") == 0 {
         ntex::time::sleep(Duration::from_millis(5)).await;
     }
-    // The gate learns from a report that the engine is full before the second asks.
+    // The gate learns from a report that the engine is full before the second request arrives.
     ntex::time::sleep(Duration::from_millis(700)).await;
-    let waiting = ask("second");
+    let queued = ask("second");
     ntex::time::sleep(Duration::from_millis(100)).await;
     fleet.platform.publish("revision = 2\n");
 
-    let refused = waiting.await.expect("task").expect("answered");
+    let refused = queued.await.expect("task").expect("answered");
     assert_eq!(refused.status(), 503);
     let problem: Problem = refused.json().await.expect("a problem");
     assert_eq!(problem.ran, Ran::No);
-    assert!(problem.retry_after_ms.is_some(), "it says when to come back");
-    assert_eq!(state.started_of("second"), 0, "the engine never saw it");
+    assert!(problem.retry_after_ms.is_some(), "the refusal names a retry time");
+    assert_eq!(state.started_of("second"), 0, "the request never reached the engine");
 
-    let (texts, done) = read_answer(begun.await.expect("task").expect("answered")).await;
-    assert!(done, "the page that had begun is whole");
+    let (texts, done) = read_answer(running.await.expect("task").expect("answered")).await;
+    assert!(done, "the running answer is complete");
     assert_eq!(texts.concat(), support::expected("first tokens=120"));
 }
--- a/crates/daemon/tests/starts.rs
+++ b/crates/daemon/tests/starts.rs
@@ -1,4 +1,4 @@
-//! When an engine receives its next prompt.
+//! The moment at which an engine receives its next prompt.
 
 mod support;
 
@@ -6,14 +6,14 @@
 
 use fireflyhoist_harness::client;
 
-/// Tokens after which the relay tells the gate of progress in any case.
-const NOTED: u64 = 16;
+/// Tokens after which the relay reports progress to the gate in any case.
+const PROGRESS_INTERVAL: u64 = 16;
 
-/// Supervisors ask for rosters one after the other. An engine is sent one prompt at a time, and the
-/// next as soon as the first token of the last is out; told only with the sixteenth, the gate kept
-/// each engine idle for many times the objective between two prompts.
+/// An engine is sent one prompt at a time, and the next one as soon as the previous one has
+/// produced its first token. When the gate learned of progress only with the sixteenth token, each
+/// engine stayed idle for many times the objective between two prompts.
 #[ntex::test]
-async fn the_first_token_makes_the_way_free_for_the_next_prompt() {
+async fn the_next_prompt_does_not_wait_past_the_first_token() {
     let (running, engine) = support::paced(300_000);
     let text = support::text("live", 30_000, &[running.address()]);
     let mut fleet = support::Fleet::open(&text);
@@ -34,5 +34,5 @@
         ntex::time::sleep(Duration::from_millis(5)).await;
     }
     let carried = engine.carried_max();
-    assert!(carried < NOTED, "the second began after {carried} tokens of the first");
+    assert!(carried < PROGRESS_INTERVAL, "the second began after {carried} tokens of the first");
 }
--- a/crates/daemon/tests/versions.rs
+++ b/crates/daemon/tests/versions.rs
@@ -1,14 +1,14 @@
-//! Versions among daemons that are processes of their own.
+//! Versions of the text among daemons that run as separate processes.
 
 mod fleet;
 
 use fireflyhoist_harness::{entry, entry_beside, until_ready};
 use fleet::{Fleet, text};
 
-/// A replaced host cannot serve while the platform is down. It must learn the text from its peers;
-/// this one is large, so that it comes in many sections.
+/// A new daemon starts while the platform is down. It must get the text from its peers, or it could
+/// not serve; the text is large, so that it is transferred in many sections.
 #[ntex::test]
-async fn with_the_platform_down_a_new_daemon_learns_from_peers() {
+async fn a_new_daemon_gets_the_text_from_peers_without_the_platform() {
     let fleet = Fleet::open().await;
     let a = entry("v-1", "d-1", fleet.platform);
     fleet.hosts(1, &[&a], &[]).await;
@@ -21,9 +21,10 @@
     fleet.until(b.http, "/readyz", &ready).await;
 }
 
-/// With neither platform nor peers a daemon must not say that it is ready, and must say why.
+/// A daemon that reaches neither the platform nor peers must not report ready, and must name the
+/// reason.
 #[ntex::test]
-async fn with_neither_a_daemon_is_not_ready() {
+async fn a_daemon_without_platform_and_peers_is_not_ready() {
     let fleet = Fleet::open().await;
     fleet.fault("down").await;
     let a = entry("n-1", "d-1", fleet.platform);
@@ -34,10 +35,10 @@
     until_ready(&fleet.client, a.http).await;
 }
 
-/// Operators removed a workspace and it is back. The platform serves an older text than the fleet
-/// runs; no daemon may follow it, neither one that runs nor one that starts.
+/// The platform serves an older text than the one in force in the fleet. No daemon may apply it,
+/// neither a running one nor one that starts, or the operators' last change would be undone.
 #[ntex::test]
-async fn a_stale_platform_reverts_nobody() {
+async fn a_stale_platform_reverts_no_daemon() {
     let fleet = Fleet::open().await;
     let a = entry("o-1", "d-1", fleet.platform);
     fleet.hosts(1, &[&a], &[]).await;
@@ -53,10 +54,10 @@
     fleet.until(a.http, "/readyz", "ready version=5-").await;
 }
 
-/// A typing error reaches the platform. The text in force must stay, operators must see the error,
-/// and the next good text must come in.
+/// The platform serves an invalid text. The text in force must stay, the status must show the
+/// error, and the next valid text must be applied.
 #[ntex::test]
-async fn an_invalid_text_is_told_and_changes_nothing() {
+async fn an_invalid_text_is_reported_and_not_applied() {
     let fleet = Fleet::open().await;
     let a = entry("i-1", "d-1", fleet.platform);
     fleet.hosts(1, &[&a], &[]).await;
@@ -70,10 +71,10 @@
     fleet.until(a.http, "/v1/status", "\"refused\":null").await;
 }
 
-/// Two operators publish at once under one revision; whichever is read last, all must end with the
-/// same, and the log must say so.
+/// Two operators publish different texts with the same revision. All daemons must converge on the
+/// same one, whichever they read last, and log the conflict.
 #[ntex::test]
-async fn two_texts_of_one_revision_end_alike_and_are_logged() {
+async fn two_texts_of_one_revision_converge_and_are_logged() {
     let fleet = Fleet::open().await;
     let (a, b) = (entry("c-1", "d-1", fleet.platform), entry("c-2", "d-2", fleet.platform));
     fleet.hosts(1, &[&a, &b], &[]).await;
@@ -87,10 +88,10 @@
     fleet.until(b.http, "/readyz", &wanted).await;
 }
 
-/// The platform is busy with watches of daemons that have nothing to learn. Each of the two values
-/// costs a watcher one call in 25 s; a daemon that asks over and over shows as a growing count.
+/// A daemon polls the platform in a loop while nothing changes. Each of the two watched values
+/// costs one long-poll call in 25 s; a daemon that polls without waiting shows as a growing count.
 #[ntex::test]
-async fn a_daemon_that_learns_nothing_waits_in_two_calls() {
+async fn an_idle_daemon_holds_long_polls_instead_of_polling() {
     let fleet = Fleet::open().await;
     let a = entry("w-1", "d-1", fleet.platform);
     fleet.hosts(1, &[&a], &[]).await;
@@ -102,7 +103,7 @@
         let body = response.body().await.expect("a count");
         std::str::from_utf8(&body).expect("digits").parse().expect("a count")
     };
-    // Both watches are waiting once a second passes without a call.
+    // Once a second passes without a call, both long polls are waiting.
     let mut before = reads().await;
     loop {
         ntex::time::sleep(std::time::Duration::from_secs(1)).await;
@@ -110,7 +111,7 @@
         if now == before {
             break;
         }
-        assert!(now < 40, "{now} calls and still none that waits");
+        assert!(now < 40, "{now} calls and the daemon still polls");
         before = now;
     }
 }
--- a/crates/daemon/tests/whole_path.rs
+++ b/crates/daemon/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path with every part a process of its own.
+//! The request path from end to end, with every component in a process of its own.
 
 use fireflyhoist_harness::{
     client, entry, host_list, read_answer, standin, until_listed, until_ready,
@@ -6,11 +6,12 @@
 use fireflyhoist_standin::script::Script;
 use ntex::util::Bytes;
 
-/// A member asks which address to use, sends a page there and receives every line once and in
-/// order; beside it a lookup of the search pages goes through the other daemon. The platform, two
-/// engines, the plain service and both daemons are processes of their own.
+/// A caller reads the entry list, sends a completion to the first entry and must receive every line
+/// once and in order; a plain call then goes through the other entry. Guards against components
+/// that work alone but not together: the platform, two engines, the plain service and both daemons
+/// are separate processes.
 #[ntex::test]
-async fn a_page_and_a_lookup_are_served_end_to_end() {
+async fn a_completion_and_a_plain_call_work_end_to_end() {
     let (_platform, platform) = standin("platform", &[]);
     let (_one, engine_one) = standin("engine", &[]);
     let (_two, engine_two) = standin("engine", &[]);
