--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -210,7 +210,7 @@
     let ticket = ticket(&client, entry, "dispatch").await;
     service.set_fault(Some(Order { fault: Fault::Slow { by: 30 }, times: Some(1) }));
     {
-        let gone = support::raw(
+        let connection = support::raw(
             entry,
             &format!(
                 "POST /s/dispatch/crew?ward=3 HTTP/1.1\r\nhost: e\r\n{TICKET_HEADER}: {ticket}\r\n\
@@ -218,7 +218,7 @@
             ),
         );
         until(|| service.calls() == 1).await;
-        drop(gone);
+        drop(connection);
     }
     let outcome = dispatch(&client, entry, &ticket).await;
     assert_eq!(outcome, Outcome::refused("still-running", Ran::Unknown));
