--- a/crates/gateway/src/process/service_gate.rs
+++ b/crates/gateway/src/process/service_gate.rs
@@ -277,9 +277,9 @@
         self.request
     }
 
-    /// Returns the state of the target when it was chosen; see [`Gate::grounds`].
-    pub fn grounds(&self) -> Option<Placement> {
-        self.gate.state.lock().gate.grounds(self.request)
+    /// Returns the state of the target when it was chosen; see [`Gate::placement`].
+    pub fn placement(&self) -> Option<Placement> {
+        self.gate.state.lock().gate.placement(self.request)
     }
 
     /// Returns the targets to copy or migrate the answer's memory to, best first; see
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -115,7 +115,7 @@
     /// Logs why the gate chose a target, so that a late start can be explained.
     fn log_placement(&self, pass: &Pass) {
         let (context, process) = (&self.context, &self.worker.process);
-        let Some(placement) = pass.grounds() else { return };
+        let Some(placement) = pass.placement() else { return };
         log::info!(
             request = context.facts.request.as_str(), target:% = pass.target(),
             waited_ms = millis(process.clock.now().since(context.first_sent_at)),
--- a/crates/policy/src/gate/migration.rs
+++ b/crates/policy/src/gate/migration.rs
@@ -113,7 +113,7 @@
             return Vec::new();
         }
         let Some(running) = self.running.get(&request) else { return Vec::new() };
-        let (own, curve, class) = (running.target, running.curve, running.ask.class);
+        let (own, curve, class) = (running.target, running.curve, running.request.class);
         let mut ranked: Vec<(Rank, f64, &id::Target)> = Vec::new();
         for (at, state) in self.targets.iter().enumerate() {
             if at == own || !state.is_up(now) {
@@ -150,7 +150,7 @@
         let unstarted = running.first.is_none();
         self.targets[from].memory.remove(now, &curve);
         if unstarted {
-            let prompt = running.ask.prompt.get();
+            let prompt = running.request.prompt.get();
             self.targets[from].remove_unstarted(prompt);
             self.targets[to].add_unstarted(prompt);
         }
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -67,9 +67,9 @@
 #[derive(Debug)]
 struct Running {
     target: usize,
-    ask: Request,
+    request: Request,
     curve: Curve,
-    mark: Progress,
+    progress: Progress,
     /// Work charged to its workspace so far.
     work: f64,
     produced: u64,
@@ -79,7 +79,7 @@
     /// Tokens produced, and the time, at the latest latency sample of its engine.
     sampled: (u64, Time),
     /// State of its target when it was chosen.
-    grounds: Placement,
+    placement: Placement,
 }
 
 /// Decides on the requests of one service; see the [module](self).
@@ -157,8 +157,8 @@
     }
 
     /// Sets the budget of this entry for retries.
-    pub fn set_retries(&mut self, terms: retry::Limits) {
-        self.retries.set_limits(terms);
+    pub fn set_retries(&mut self, limits: retry::Limits) {
+        self.retries.set_limits(limits);
     }
 
     /// Sets the objective for the time between tokens of live generations.
@@ -167,45 +167,45 @@
     }
 
     /// Decides on a new request, or on a retry of one that failed before its answer began.
-    pub fn offer(&mut self, now: Time, rng: &mut impl Rng, ask: Request) -> Verdict {
+    pub fn offer(&mut self, now: Time, rng: &mut impl Rng, request: Request) -> Verdict {
         self.refresh_weights(now);
         self.drain.advance(now, !self.queue.is_empty());
-        let again = ask.retry;
+        let again = request.retry;
         if let Some(verdict) = self.refuse_without_targets(rng) {
             return verdict;
         }
         if again
-            && (ask.class != Class::Overnight || self.settings.charge_overnight)
+            && (request.class != Class::Overnight || self.settings.charge_overnight)
             && !self.retries.try_take()
         {
             return refuse(rng, Reason::RetryBudget, RETRY_AFTER.0);
         }
-        if is_lookup(&ask) {
-            return match self.place_lookup(now, rng, &ask) {
-                Some(at) => self.send(now, at, ask, 0.0),
+        if is_lookup(&request) {
+            return match self.place_lookup(now, rng, &request) {
+                Some(at) => self.send(now, at, request, 0.0),
                 None => self.refuse_unavailable(now, rng),
             };
         }
-        let ask = self.classify(now, ask);
-        let work = self.work(&ask);
-        let curve = self.curve(&ask, 0);
-        if self.queue.is_empty_through(ask.class)
-            && let Some(at) = self.place(now, rng, &ask, &curve)
+        let request = self.classify(now, request);
+        let work = self.work(&request);
+        let curve = self.curve(&request, 0);
+        if self.queue.is_empty_through(request.class)
+            && let Some(at) = self.place(now, rng, &request, &curve)
         {
-            return self.send(now, at, ask, work);
+            return self.send(now, at, request, work);
         }
-        if !again && let Some(verdict) = self.refuse_on_arrival(now, rng, &ask, work) {
+        if !again && let Some(verdict) = self.refuse_on_arrival(now, rng, &request, work) {
             return verdict;
         }
-        self.queue.push(now, Item { ask, work }, again);
+        self.queue.push(now, Item { request, work }, again);
         Verdict::Wait
     }
 
     /// Returns the request, moved to [`Class::Spare`] if it can no longer begin by its objective.
-    fn classify(&self, now: Time, ask: Request) -> Request {
-        let late = self.settings.shed_late && ask.objective < now + FIRST_TOKEN;
-        let class = if late { Class::Spare } else { ask.class };
-        Request { class, ..ask }
+    fn classify(&self, now: Time, request: Request) -> Request {
+        let late = self.settings.shed_late && request.objective < now + FIRST_TOKEN;
+        let class = if late { Class::Spare } else { request.class };
+        Request { class, ..request }
     }
 
     /// Takes a retry from the budget for a running request that is to restart at another target;
@@ -214,9 +214,9 @@
         self.retries.try_take()
     }
 
-    /// State of the target of a running request at the time when it was chosen.
-    pub fn grounds(&self, request: id::Request) -> Option<Placement> {
-        self.running.get(&request).map(|running| running.grounds)
+    /// Returns the state of the target of a running request at the time when it was chosen.
+    pub fn placement(&self, request: id::Request) -> Option<Placement> {
+        self.running.get(&request).map(|running| running.placement)
     }
 
     /// Records that a running request has produced `produced` tokens in all, the last of them at
@@ -234,7 +234,7 @@
             None => {
                 running.first = Some(now);
                 running.sampled = (produced, now);
-                state.remove_unstarted(running.ask.prompt.get());
+                state.remove_unstarted(running.request.prompt.get());
                 self.detector.record_answer(now, &state.name);
             }
             Some(_) => {
@@ -255,25 +255,26 @@
         }
         running.latest = now;
         running.produced = produced;
-        let workspace = running.ask.workspace.clone();
-        self.lengths.advance(&workspace, &mut running.mark, produced);
+        let workspace = running.request.workspace.clone();
+        self.lengths.advance(&workspace, &mut running.progress, produced);
         self.update_curve(now, request);
     }
 
     /// Replaces the curve of a running answer by one for its present length.
     fn update_curve(&mut self, now: Time, request: id::Request) {
         let Some(running) = self.running.get(&request) else { return };
-        let new = self.curve(&running.ask, running.produced);
+        let new = self.curve(&running.request, running.produced);
         let Some(running) = self.running.get_mut(&request) else { return };
         let old = std::mem::replace(&mut running.curve, new);
         self.targets[running.target].memory.replace(now, &old, &new);
         self.own.remove(&old);
         self.own.add(&new);
-        self.usage.add(&running.ask.workspace, f64::from(new.now() - old.now()));
+        self.usage.add(&running.request.workspace, f64::from(new.now() - old.now()));
         // An answer that is longer than predicted is charged as it grows.
-        let work = PROMPT_TOKEN_WORK * running.ask.prompt.get() as f64 + running.produced as f64;
+        let work =
+            PROMPT_TOKEN_WORK * running.request.prompt.get() as f64 + running.produced as f64;
         if work > running.work {
-            self.queue.charge(&running.ask.workspace, work - running.work);
+            self.queue.charge(&running.request.workspace, work - running.work);
             running.work = work;
         }
     }
@@ -286,21 +287,22 @@
             self.queue.remove(request);
             return;
         };
-        let workspace = &running.ask.workspace;
+        let workspace = &running.request.workspace;
         let state = &mut self.targets[running.target];
         state.memory.remove(now, &running.curve);
         if running.first.is_none() {
-            state.remove_unstarted(running.ask.prompt.get());
+            state.remove_unstarted(running.request.prompt.get());
         }
         self.own.remove(&running.curve);
         self.usage.add(workspace, -f64::from(running.curve.now()));
-        let done = PROMPT_TOKEN_WORK * running.ask.prompt.get() as f64 + running.produced as f64;
+        let done =
+            PROMPT_TOKEN_WORK * running.request.prompt.get() as f64 + running.produced as f64;
         self.queue.charge(workspace, done - running.work);
         match outcome {
             Outcome::Whole => {
                 self.retries.record_success();
-                self.lengths.end(workspace, running.mark, running.produced);
-                if is_lookup(&running.ask) {
+                self.lengths.end(workspace, running.progress, running.produced);
+                if is_lookup(&running.request) {
                     let sample = Sample::Latency(now.since(running.sent));
                     self.detector.record(now, &state.name, sample);
                     self.detector.record_answer(now, &state.name);
@@ -328,13 +330,16 @@
             && let Some(verdict) = self.refuse_without_targets(rng)
         {
             let waiting = self.queue.drain();
-            return waiting.into_iter().map(|item| (item.ask.id, verdict.clone())).collect();
+            return waiting.into_iter().map(|item| (item.request.id, verdict.clone())).collect();
         }
         for item in self.queue.expire(now) {
-            let wait =
-                self.drain.wait(self.queue.work_ahead(item.ask.class, &item.ask.workspace, 0.0));
+            let wait = self.drain.wait(self.queue.work_ahead(
+                item.request.class,
+                &item.request.workspace,
+                0.0,
+            ));
             let verdict = refuse(rng, Reason::Deadline, wait.unwrap_or(RETRY_AFTER.0));
-            decided.push((item.ask.id, verdict));
+            decided.push((item.request.id, verdict));
         }
         while let Some((request, verdict)) = self.send_next(now, rng) {
             decided.push((request, verdict));
@@ -343,7 +348,7 @@
             for item in self.queue.shed(now, FIRST_TOKEN, shedding::MAX_WAIT) {
                 let retry_after = shedding::retry_after(rng);
                 let refusal = Refusal { reason: Reason::Late, retry_after };
-                decided.push((item.ask.id, Verdict::Refuse(refusal)));
+                decided.push((item.request.id, Verdict::Refuse(refusal)));
             }
         }
         decided
@@ -352,12 +357,12 @@
     /// Sends the next queued request that fits on some target.
     fn send_next(&mut self, now: Time, rng: &mut impl Rng) -> Option<(id::Request, Verdict)> {
         for (class, workspace) in self.queue.next_workspaces() {
-            let ask = self.queue.head(class, &workspace)?.ask.clone();
-            let curve = self.curve(&ask, 0);
-            if let Some(at) = self.place(now, rng, &ask, &curve) {
+            let request = self.queue.head(class, &workspace)?.request.clone();
+            let curve = self.curve(&request, 0);
+            if let Some(at) = self.place(now, rng, &request, &curve) {
                 let item = self.queue.pop(now, class, &workspace)?;
                 self.drain.record(item.work);
-                return Some((ask.id, self.send(now, at, item.ask, item.work)));
+                return Some((request.id, self.send(now, at, item.request, item.work)));
             }
         }
         None
@@ -390,18 +395,22 @@
         self.queue.next_deadline()
     }
 
-    fn work(&self, ask: &Request) -> f64 {
-        let expected = self.lengths.distribution(&ask.workspace).expected(0, ask.limit.get());
-        PROMPT_TOKEN_WORK * ask.prompt.get() as f64 + f64::from(expected)
+    fn work(&self, request: &Request) -> f64 {
+        let expected =
+            self.lengths.distribution(&request.workspace).expected(0, request.limit.get());
+        PROMPT_TOKEN_WORK * request.prompt.get() as f64 + f64::from(expected)
     }
 
-    fn curve(&self, ask: &Request, produced: u64) -> Curve {
-        let (prompt, limit) = (ask.prompt.get(), ask.limit.get().min(self.largest_capacity));
-        if is_lookup(ask) {
+    fn curve(&self, request: &Request, produced: u64) -> Curve {
+        let (prompt, limit) =
+            (request.prompt.get(), request.limit.get().min(self.largest_capacity));
+        if is_lookup(request) {
             return Curve::default();
         }
         match self.settings.length {
-            true => Curve::of(self.lengths.distribution(&ask.workspace), prompt, produced, limit),
+            true => {
+                Curve::of(self.lengths.distribution(&request.workspace), prompt, produced, limit)
+            }
             false => Curve::reserved(prompt, limit),
         }
     }
@@ -412,73 +421,73 @@
         &mut self,
         now: Time,
         rng: &mut impl Rng,
-        ask: &Request,
+        request: &Request,
         work: f64,
     ) -> Option<Verdict> {
-        let ahead = self.queue.work_ahead(ask.class, &ask.workspace, work);
-        let own = self.queue.own_wait(now, ask.class, &ask.workspace, work);
+        let ahead = self.queue.work_ahead(request.class, &request.workspace, work);
+        let own = self.queue.own_wait(now, request.class, &request.workspace, work);
         let wait =
             self.drain.wait(ahead).max(own).map(|wait| wait.mul_f64(WAIT_FACTOR) + FIRST_TOKEN);
         if self.queue.len() >= CAPACITY {
             let retry = self.drain.wait(work).unwrap_or(RETRY_AFTER.0);
             return Some(refuse(rng, Reason::QueueFull, retry));
         }
-        let patience = ask.deadline.since(now);
+        let patience = request.deadline.since(now);
         let late = wait.filter(|wait| self.settings.refuse && *wait > patience)?;
         Some(refuse(rng, Reason::Deadline, late - patience))
     }
 
-    fn note_prompt(&mut self, ask: &Request) {
-        let prompt = ask.prompt.get() as f64;
-        if is_lookup(ask) {
+    fn note_prompt(&mut self, request: &Request) {
+        let prompt = request.prompt.get() as f64;
+        if is_lookup(request) {
             return;
         }
         let part = if self.mean_prompt > 0.0 { PROMPT_SMOOTHING } else { 1.0 };
         self.mean_prompt += (prompt - self.mean_prompt) * part;
     }
 
-    fn send(&mut self, now: Time, at: usize, ask: Request, work: f64) -> Verdict {
-        let curve = self.curve(&ask, 0);
-        self.note_prompt(&ask);
+    fn send(&mut self, now: Time, at: usize, request: Request, work: f64) -> Verdict {
+        let curve = self.curve(&request, 0);
+        self.note_prompt(&request);
         let state = &mut self.targets[at];
-        let grounds = Placement {
+        let placement = Placement {
             load: state.memory.load(),
             streams: state.memory.all_streams(),
             unread: Tokens::new(state.all_unread()),
             age: now.since(state.memory.reported_at()),
-            late: ask.class == Class::Spare,
+            late: request.class == Class::Spare,
         };
         state.memory.add(now, &curve);
-        state.add_unstarted(ask.prompt.get());
+        state.add_unstarted(request.prompt.get());
         self.sends += 1;
         state.last_send = self.sends;
         let target = state.name.clone();
         self.own.add(&curve);
         self.typical = curve;
-        self.usage.add(&ask.workspace, f64::from(curve.now()));
-        self.queue.charge(&ask.workspace, work);
-        let mark = self.lengths.begin(&ask.workspace);
-        let request = ask.id;
+        self.usage.add(&request.workspace, f64::from(curve.now()));
+        self.queue.charge(&request.workspace, work);
+        let progress = self.lengths.begin(&request.workspace);
+        let id = request.id;
         let running = Running {
             target: at,
-            ask,
+            request,
             curve,
-            mark,
+            progress,
             work,
             produced: 0,
             sent: now,
             first: None,
             latest: now,
             sampled: (0, now),
-            grounds,
+            placement,
         };
-        self.running.insert(request, running);
+        self.running.insert(id, running);
         Verdict::Send(target)
     }
 }
 
-fn is_lookup(ask: &Request) -> bool {
-    ask.class == Class::Lookup || ask.limit == Tokens::default()
+fn is_lookup(request: &Request) -> bool {
+    request.class == Class::Lookup || request.limit == Tokens::default()
 }
 
 /// Returns a refusal. Its retry delay is spread at random by up to half, so that requests that are
--- a/crates/policy/src/gate/place.rs
+++ b/crates/policy/src/gate/place.rs
@@ -73,18 +73,18 @@
         &mut self,
         now: Time,
         rng: &mut impl Rng,
-        ask: &Request,
+        request: &Request,
     ) -> Option<usize> {
         let sends = self.sends;
         self.collect(|state| {
-            let up = state.is_up(now) && Some(&state.name) != ask.avoid.as_ref();
+            let up = state.is_up(now) && Some(&state.name) != request.avoid.as_ref();
             up.then(|| state.load(sends))
         });
         if self.candidates.is_empty() {
             // A suspect target is better than none, and one that failed another request is better
             // than the one that has just failed this request.
             self.collect(|state| {
-                let other = Some(&state.name) != ask.avoid.as_ref();
+                let other = Some(&state.name) != request.avoid.as_ref();
                 (state.hard_exclusion(now).is_none() && other).then_some(0.0)
             });
         }
@@ -101,26 +101,27 @@
         &mut self,
         now: Time,
         rng: &mut impl Rng,
-        ask: &Request,
+        request: &Request,
         curve: &Curve,
     ) -> Option<usize> {
         let settings = self.settings.clone();
         let (sends, mean_prompt) = (self.sends, self.mean_prompt);
-        let live = ask.class == Class::Live;
-        let reserve = match ask.class {
-            Class::Live if settings.reserve => HEAVY_RESERVE * self.excess(&ask.workspace),
+        let live = request.class == Class::Live;
+        let reserve = match request.class {
+            Class::Live if settings.reserve => HEAVY_RESERVE * self.excess(&request.workspace),
             Class::Spare if settings.shed_late => shedding::RESERVE,
             _ => 0.0,
         };
         let live = settings.pace && live;
         self.collect(|state| {
-            if !state.is_up(now) || Some(&state.name) == ask.avoid.as_ref() {
+            if !state.is_up(now) || Some(&state.name) == request.avoid.as_ref() {
                 return None;
             }
             if settings.stagger && !state.stagger.is_over(now) {
                 return None;
             }
-            if settings.prefill_bound && !state.has_prefill_room(ask.prompt.get(), mean_prompt) {
+            if settings.prefill_bound && !state.has_prefill_room(request.prompt.get(), mean_prompt)
+            {
                 return None;
             }
             let (share, part) = (state.share, state.share.get(now));
@@ -128,13 +129,18 @@
                 return None;
             }
             let (own, total) = state.memory.held();
-            let claim =
-                state.memory.claim(now, ask.class, part, share.retained(now, own, total), reserve);
-            let fits = !settings.memory || state.memory.fits(ask.class, &claim, curve);
+            let claim = state.memory.claim(
+                now,
+                request.class,
+                part,
+                share.retained(now, own, total),
+                reserve,
+            );
+            let fits = !settings.memory || state.memory.fits(request.class, &claim, curve);
             fits.then(|| state.load(sends))
         });
-        let has_affinity = settings.affinity && ask.prompt.get() >= MIN_AFFINITY_PROMPT;
-        let prefix = if has_affinity { ask.prefix } else { placement::NO_PREFIX };
+        let has_affinity = settings.affinity && request.prompt.get() >= MIN_AFFINITY_PROMPT;
+        let prefix = if has_affinity { request.prefix } else { placement::NO_PREFIX };
         let chosen = placement::choose(rng, prefix, &self.candidates, settings.choices);
         chosen.map(|at| self.candidate_targets[at])
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Item {
     /// The request.
-    pub ask: Request,
+    pub request: Request,
     /// Its predicted work in tokens.
     pub work: f64,
 }
@@ -117,12 +117,13 @@
     /// Adds a request, with `front` before all others of its workspace (a retry of an accepted
     /// request).
     pub fn push(&mut self, now: Time, item: Item, front: bool) {
-        let workspace = item.ask.workspace.clone();
-        let location = Location { class: item.ask.class, workspace: workspace.clone(), since: now };
-        self.locations.insert(item.ask.id, location);
+        let workspace = item.request.workspace.clone();
+        let location =
+            Location { class: item.request.class, workspace: workspace.clone(), since: now };
+        self.locations.insert(item.request.id, location);
         // An idle workspace gains no credit for work that it did not ask for.
         let account = self.accounts.entry(workspace.clone()).or_default();
-        let flows = self.classes.entry(item.ask.class).or_default();
+        let flows = self.classes.entry(item.request.class).or_default();
         let waiting = flows.contains_key(&workspace);
         account.drain.advance(now, waiting);
         if !waiting {
@@ -177,7 +178,7 @@
         if self.fair {
             return self.received(a).total_cmp(&self.received(b));
         }
-        let deadline = |w| flows.get(w).and_then(|f| f.items.front()).map(|i| i.ask.deadline);
+        let deadline = |w| flows.get(w).and_then(|f| f.items.front()).map(|i| i.request.deadline);
         deadline(a).cmp(&deadline(b))
     }
 
@@ -204,7 +205,7 @@
         let flow = flows.get_mut(workspace)?;
         let item = flow.items.remove(at)?;
         flow.work = (flow.work - item.work).max(0.0);
-        self.locations.remove(&item.ask.id);
+        self.locations.remove(&item.request.id);
         if flow.items.is_empty() {
             flows.remove(workspace);
             self.evict_account(workspace);
@@ -223,7 +224,7 @@
     pub fn remove(&mut self, request: id::Request) -> Option<Item> {
         let Location { class, workspace, .. } = self.locations.get(&request)?.clone();
         let flow = self.classes.get(&class)?.get(&workspace)?;
-        let at = flow.items.iter().position(|item| item.ask.id == request)?;
+        let at = flow.items.iter().position(|item| item.request.id == request)?;
         self.take(class, &workspace, at)
     }
 
@@ -242,13 +243,13 @@
                 continue;
             }
             let items = flows.values().flat_map(|flow| &flow.items);
-            let passed = items.filter(|item| item.ask.objective < now + lead);
-            late.extend(passed.map(|item| item.ask.id));
+            let passed = items.filter(|item| item.request.objective < now + lead);
+            late.extend(passed.map(|item| item.request.id));
         }
         for request in late {
             let since = self.locations.get(&request).map_or(now, |location| location.since);
             if let Some(mut item) = self.remove(request) {
-                item.ask.class = Class::Spare;
+                item.request.class = Class::Spare;
                 self.push(now, item, false);
                 self.locations.entry(request).and_modify(|location| location.since = since);
             }
@@ -261,12 +262,15 @@
     pub fn shed(&mut self, now: Time, lead: Duration, max_wait: Duration) -> Vec<Item> {
         let spare = self.classes.get(&Class::Spare).into_iter().flat_map(BTreeMap::values);
         let expired = |item: &&Item| {
-            let location = self.locations.get(&item.ask.id);
-            let late_on_arrival = location.is_some_and(|p| item.ask.objective < p.since + lead);
-            !late_on_arrival && item.ask.objective + max_wait < now + lead
+            let location = self.locations.get(&item.request.id);
+            let late_on_arrival = location.is_some_and(|p| item.request.objective < p.since + lead);
+            !late_on_arrival && item.request.objective + max_wait < now + lead
         };
-        let expired: Vec<id::Request> =
-            spare.flat_map(|flow| &flow.items).filter(expired).map(|item| item.ask.id).collect();
+        let expired: Vec<id::Request> = spare
+            .flat_map(|flow| &flow.items)
+            .filter(expired)
+            .map(|item| item.request.id)
+            .collect();
         expired.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
@@ -286,7 +290,9 @@
     }
 
     fn overdue(&self, now: Time) -> Option<(Class, id::Workspace)> {
-        self.heads().find(|(_, _, item)| item.ask.deadline <= now).map(|(c, w, _)| (c, w.clone()))
+        self.heads()
+            .find(|(_, _, item)| item.request.deadline <= now)
+            .map(|(c, w, _)| (c, w.clone()))
     }
 
     fn heads(&self) -> impl Iterator<Item = (Class, &id::Workspace, &Item)> {
@@ -299,7 +305,7 @@
 
     /// The earliest deadline among the first requests of all workspaces.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.heads().map(|(_, _, item)| item.ask.deadline).min()
+        self.heads().map(|(_, _, item)| item.request.deadline).min()
     }
 
     /// Work that is served before a further request of this workspace with this much work: all of
--- a/crates/policy/tests/gate.rs
+++ b/crates/policy/tests/gate.rs
@@ -16,7 +16,7 @@
     format!("t{number}").parse().expect("a name")
 }
 
-fn ask(number: u128, workspace: &str, class: Class, now: Time) -> Request {
+fn request(number: u128, workspace: &str, class: Class, now: Time) -> Request {
     Request {
         id: id::Request::new(number),
         workspace: workspace.parse().expect("a name"),
@@ -53,10 +53,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut gate = gate(Some(&full_report()));
     for number in 0..1_000 {
-        let page = ask(number, "archive", Class::Overnight, Time::ZERO);
+        let page = request(number, "archive", Class::Overnight, Time::ZERO);
         assert_eq!(gate.offer(Time::ZERO, &mut rng, page), Verdict::Wait);
     }
-    let lookup = ask(5_000, "members", Class::Lookup, Time::ZERO);
+    let lookup = request(5_000, "members", Class::Lookup, Time::ZERO);
     assert!(matches!(gate.offer(Time::ZERO, &mut rng, lookup), Verdict::Send(_)));
 }
 
@@ -66,7 +66,7 @@
 fn a_queued_request_is_refused_at_its_deadline() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut gate = gate(Some(&full_report()));
-    let page = ask(1, "archive", Class::Live, Time::ZERO);
+    let page = request(1, "archive", Class::Live, Time::ZERO);
     assert_eq!(gate.offer(Time::ZERO, &mut rng, page), Verdict::Wait);
     assert_eq!(gate.next_poll(), Some(Time::ZERO + Duration::from_secs(5)));
     let decided = gate.poll(Time::ZERO + Duration::from_secs(5), &mut rng);
@@ -105,19 +105,19 @@
         let mut gate = gate(None);
         let mut now = Time::ZERO;
         let mut verdicts: HashMap<id::Request, Verdict> = HashMap::new();
-        let mut asked = 0;
+        let mut offered = 0;
         for event in events {
-            let known: Vec<id::Request> = (0..asked).map(id::Request::new).collect();
+            let known: Vec<id::Request> = (0..offered).map(id::Request::new).collect();
             let pick = |at: usize| known.get(at % known.len().max(1)).copied();
             match event {
                 Event::Offer(workspace, live) => {
                     let class = if live { Class::Live } else { Class::Overnight };
-                    let ask = ask(asked, &format!("w{workspace}"), class, now);
-                    asked += 1;
-                    let request = ask.id;
-                    let verdict = gate.offer(now, &mut rng, ask);
+                    let request = request(offered, &format!("w{workspace}"), class, now);
+                    offered += 1;
+                    let id = request.id;
+                    let verdict = gate.offer(now, &mut rng, request);
                     if verdict != Verdict::Wait {
-                        verdicts.insert(request, verdict);
+                        verdicts.insert(id, verdict);
                     }
                 }
                 Event::Report(at, used) => {
@@ -143,7 +143,7 @@
         for (request, verdict) in gate.poll(now + Duration::from_secs(60), &mut rng) {
             prop_assert!(verdicts.insert(request, verdict).is_none(), "decided twice");
         }
-        prop_assert_eq!(verdicts.len() as u128, asked);
+        prop_assert_eq!(verdicts.len() as u128, offered);
     }
 }
 
@@ -164,7 +164,7 @@
         let first = Request {
             avoid: avoided.clone(),
             retry: repeat,
-            ..ask(number, "w", Class::Lookup, now)
+            ..request(number, "w", Class::Lookup, now)
         };
         let verdict = gate.offer(now, &mut rng, first);
         let Verdict::Send(at) = verdict else { continue };
@@ -187,7 +187,7 @@
     let now = Time::ZERO + Duration::from_secs(1);
     let mut seen = std::collections::BTreeSet::new();
     for number in 0..20 {
-        let verdict = gate.offer(now, &mut rng, ask(number, "w", Class::Lookup, now));
+        let verdict = gate.offer(now, &mut rng, request(number, "w", Class::Lookup, now));
         let Verdict::Send(at) = verdict else { panic!("{verdict:?}") };
         let outcome = if number == 0 { Outcome::ServerError } else { Outcome::Whole };
         seen.insert(at);
@@ -206,7 +206,7 @@
     gate.set_targets(Time::ZERO, (0..3).map(target).collect());
     let now = Time::ZERO + Duration::from_secs(1);
     for number in 0..100 {
-        let next = Request { avoid: Some(target(0)), ..ask(number, "w", Class::Lookup, now) };
+        let next = Request { avoid: Some(target(0)), ..request(number, "w", Class::Lookup, now) };
         let verdict = gate.offer(now, &mut rng, next);
         assert!(matches!(verdict, Verdict::Send(_)), "{number}: {verdict:?}");
         gate.finish(now, id::Request::new(number), Outcome::Cancelled);
@@ -220,7 +220,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut gate = gate(None);
     let second = Duration::from_secs(1);
-    let lookup = |number| ask(number, "members", Class::Lookup, Time::ZERO);
+    let lookup = |number| request(number, "members", Class::Lookup, Time::ZERO);
     gate.suspend(Time::ZERO, &target(0), second, Exclusion::Limited);
     for number in 0..20 {
         let verdict = gate.offer(Time::ZERO, &mut rng, lookup(number));
--- a/crates/policy/tests/gate_cordon.rs
+++ b/crates/policy/tests/gate_cordon.rs
@@ -55,9 +55,9 @@
     gate
 }
 
-fn ask(request: u128, now: Time) -> Request {
+fn request(number: u128, now: Time) -> Request {
     Request {
-        id: id::Request::new(request),
+        id: id::Request::new(number),
         workspace: "w".parse().expect("a name"),
         class: Class::Live,
         prompt: Tokens::new(PROMPT_TOKENS),
@@ -113,7 +113,8 @@
             let number = arrived.len() as u128;
             arrived.push(now);
             results.requests += usize::from(is_cordoned(now));
-            decided.push((id::Request::new(number), gate.offer(now, &mut rng, ask(number, now))));
+            decided
+                .push((id::Request::new(number), gate.offer(now, &mut rng, request(number, now))));
         }
         for (request, verdict) in decided {
             let arrived_at = arrived[usize::try_from(request.get()).expect("a small number")];
@@ -175,15 +176,13 @@
     let (mut gate, mut rng) = (gate(), SmallRng::seed_from_u64(1));
     let all: BTreeSet<id::Target> = (1..ENGINES).map(engine).collect();
     gate.set_cordoned(at(0), &all);
-    assert_eq!(gate.offer(at(0), &mut rng, ask(1, at(0))), Verdict::Send(engine(0)));
-    let request = id::Request::new(1);
-    assert!(gate.migration_targets(at(0), &mut rng, request, &BTreeSet::new(), None).is_empty());
-    assert!(
-        gate.migration_targets(at(0), &mut rng, request, &BTreeSet::new(), Some(0.5)).is_empty()
-    );
-    let repeat = Request { avoid: Some(engine(0)), retry: true, ..ask(2, at(0)) };
+    assert_eq!(gate.offer(at(0), &mut rng, request(1, at(0))), Verdict::Send(engine(0)));
+    let first = id::Request::new(1);
+    assert!(gate.migration_targets(at(0), &mut rng, first, &BTreeSet::new(), None).is_empty());
+    assert!(gate.migration_targets(at(0), &mut rng, first, &BTreeSet::new(), Some(0.5)).is_empty());
+    let repeat = Request { avoid: Some(engine(0)), retry: true, ..request(2, at(0)) };
     assert_eq!(gate.offer(at(0), &mut rng, repeat), Verdict::Wait);
-    let lookup = Request { class: Class::Lookup, limit: Tokens::default(), ..ask(3, at(0)) };
+    let lookup = Request { class: Class::Lookup, limit: Tokens::default(), ..request(3, at(0)) };
     let lookup = Request { avoid: Some(engine(0)), ..lookup };
     assert_eq!(gate.offer(at(0), &mut rng, lookup), Verdict::Send(engine(0)));
     assert_eq!(gate.exclusions(at(0)), BTreeMap::from([(Exclusion::Cordoned, ENGINES - 1)]));
@@ -207,7 +206,7 @@
         gate.set_order(Order::of(own.clone(), hosts.clone()));
         gate.set_cordoned(at(5_000), &(0..ENGINES).map(engine).collect());
         gate.set_cordoned(at(6_000), &(1..ENGINES).map(engine).collect());
-        let sent = gate.offer(at(6_010), &mut rng, ask(1, at(6_010)));
+        let sent = gate.offer(at(6_010), &mut rng, request(1, at(6_010)));
         sent_at_once += usize::from(matches!(sent, Verdict::Send(_)));
     }
     assert_eq!(sent_at_once, 1);
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 
 fn item(number: u128, workspace: &str, class: Class, work: f64) -> Item {
-    let ask = Request {
+    let request = Request {
         id: id::Request::new(number),
         workspace: workspace.parse().expect("a name"),
         class,
@@ -22,7 +22,7 @@
         retry: false,
         avoid: None,
     };
-    Item { ask, work }
+    Item { request, work }
 }
 
 /// Takes the next item as the gate does, and charges its work when it is sent.
@@ -41,7 +41,7 @@
     (0..1_000).for_each(|n| queue.push(Time::ZERO, item(n, "hot", Class::Live, 100.0), false));
     queue.push(Time::ZERO, item(5_000, "calm", Class::Live, 100.0), false);
     let order: Vec<Item> = std::iter::from_fn(|| next(&mut queue)).collect();
-    let place = order.iter().position(|i| i.ask.id == id::Request::new(5_000));
+    let place = order.iter().position(|i| i.request.id == id::Request::new(5_000));
     assert!(place.expect("it is served") <= 1, "served as number {place:?}");
 }
 
@@ -54,7 +54,7 @@
         queue.push(Time::ZERO, item(1_000 + n, "night", Class::Overnight, 1.0), false);
     }
     let first: Vec<Item> = (0..80).filter_map(|_| next(&mut queue)).collect();
-    let night = first.iter().filter(|i| i.ask.class == Class::Overnight).count();
+    let night = first.iter().filter(|i| i.request.class == Class::Overnight).count();
     assert_eq!(night, 10);
 }
 
@@ -78,7 +78,7 @@
         let (mut left, mut received) = ([one.len(), two.len()], [0.0, 0.0]);
         while left[0] > 0 && left[1] > 0 {
             let item = next(&mut queue).expect("both wait");
-            let at = usize::from(item.ask.workspace.as_str() == "two");
+            let at = usize::from(item.request.workspace.as_str() == "two");
             left[at] -= 1;
             received[at] += item.work;
             let apart: f64 = received[0] - received[1];
