--- a/crates/gateway/src/process/fleet/catchup.rs
+++ b/crates/gateway/src/process/fleet/catchup.rs
@@ -57,16 +57,16 @@
 
 impl Fleet {
     /// Requests from a peer the text and the targets of its heartbeat that this entry lacks.
-    pub(super) fn catch_up(&self, from: &id::Host, beat: &Heartbeat) {
+    pub(super) fn catch_up(&self, from: &id::Host, heartbeat: &Heartbeat) {
         let (text, targets) = (self.process.revision(), self.process.target_list_position());
-        let (text_behind, targets_behind) = (beat.text > text, beat.targets > targets);
+        let (text_behind, targets_behind) = (heartbeat.text > text, heartbeat.targets > targets);
         let lagging = self.update_lag(from, text_behind, targets_behind);
         let Some((text_lags, targets_lag)) = lagging else { return };
         // An entry that reads texts from the registry will soon get this one from there.
         if text_behind && (text_lags || text == 0 || self.is_standby()) {
-            self.request_text(from, beat.text);
+            self.request_text(from, heartbeat.text);
         }
-        if let Some(theirs) = beat.targets
+        if let Some(theirs) = heartbeat.targets
             && targets_behind
             && (targets_lag || targets.is_none_or(|own| theirs.has_later_era_than(own)))
         {
--- a/crates/gateway/src/process/fleet/heartbeat.rs
+++ b/crates/gateway/src/process/fleet/heartbeat.rs
@@ -18,8 +18,8 @@
         self.send_to_leaves();
     }
 
-    /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `endings`.
-    fn new_beat(&self, held: Vec<Load>) -> Heartbeat {
+    /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `outcomes`.
+    fn new_heartbeat(&self, held: Vec<Load>) -> Heartbeat {
         Heartbeat {
             follows: false,
             outcomes: Vec::new(),
@@ -39,12 +39,12 @@
         self.announce_limits();
         let (actives, _) = self.actives_and_leaves();
         let view = self.view();
-        let endings = self.process.take_outcomes();
+        let outcomes = self.process.take_outcomes();
         if self.is_active() {
             // Includes what leaves have in flight; other actives announce their own load.
             let held = self.process.usage_with(|host| !view.actives.contains(host));
-            let beat = Heartbeat { outcomes: endings, ..self.new_beat(held) };
-            self.links.send_all(actives.iter(), &Frame::Heartbeat(beat));
+            let heartbeat = Heartbeat { outcomes, ..self.new_heartbeat(held) };
+            self.links.send_all(actives.iter(), &Frame::Heartbeat(heartbeat));
             return;
         }
         let primary = view.links.first().map(|member| &member.host);
@@ -53,9 +53,9 @@
             // The load is sent to one active only, or it would be counted twice.
             let held = if Some(active) == primary { self.process.own_usage() } else { Vec::new() };
             let follows = Some(active) == source.as_ref();
-            let endings = endings.clone();
-            let beat = Heartbeat { follows, outcomes: endings, ..self.new_beat(held) };
-            self.links.send(active, &Frame::Heartbeat(beat));
+            let outcomes = outcomes.clone();
+            let heartbeat = Heartbeat { follows, outcomes, ..self.new_heartbeat(held) };
+            self.links.send(active, &Frame::Heartbeat(heartbeat));
         }
     }
 
@@ -69,10 +69,10 @@
 
     /// Sends the first heartbeat over a link that has just opened. It includes the cordons even if
     /// they have not changed.
-    pub(super) fn send_first_beat(&self, to: &id::Host) {
+    pub(super) fn send_first_heartbeat(&self, to: &id::Host) {
         let cordons = self.process.cordon_update();
-        let beat = Heartbeat { cordons, ..self.new_beat(Vec::new()) };
-        self.links.send(to, &Frame::Heartbeat(beat));
+        let heartbeat = Heartbeat { cordons, ..self.new_heartbeat(Vec::new()) };
+        self.links.send(to, &Frame::Heartbeat(heartbeat));
     }
 
     /// Sends a heartbeat to all linked leaves. Only leaves that have requests in flight get the load of
@@ -81,10 +81,10 @@
         let (_, leaves) = self.actives_and_leaves();
         let (busy, idle): (Vec<id::Host>, Vec<id::Host>) =
             leaves.into_iter().partition(|leaf| self.process.has_usage(leaf));
-        self.links.send_all(idle.iter(), &Frame::Heartbeat(self.new_beat(Vec::new())));
+        self.links.send_all(idle.iter(), &Frame::Heartbeat(self.new_heartbeat(Vec::new())));
         for leaf in &busy {
             let held = self.process.usage_with(|host| host != leaf);
-            self.links.send(leaf, &Frame::Heartbeat(self.new_beat(held)));
+            self.links.send(leaf, &Frame::Heartbeat(self.new_heartbeat(held)));
         }
     }
 
@@ -112,34 +112,35 @@
         }
     }
 
-    fn apply_endings(&self, from: &id::Host, endings: Vec<TargetOutcome>) {
-        if endings.is_empty() {
+    fn apply_outcomes(&self, from: &id::Host, outcomes: Vec<TargetOutcome>) {
+        if outcomes.is_empty() {
             return;
         }
         let domain = self.peers.lock().get(from).map(|peer| peer.member.domain.clone());
         let Some(domain) = domain else { return };
-        self.process.apply_outcomes(&Observer { host: from.clone(), domain }, endings);
+        self.process.apply_outcomes(&Observer { host: from.clone(), domain }, outcomes);
     }
 
     /// Applies a heartbeat of another entry, and requests the text and targets that it has and this
     /// entry lacks.
-    pub(super) fn handle_beat(&self, from: &id::Host, mut beat: Heartbeat) {
-        self.catch_up(from, &beat);
-        self.apply_endings(from, std::mem::take(&mut beat.outcomes));
-        if let Some(update) = &beat.cordons {
+    pub(super) fn handle_heartbeat(&self, from: &id::Host, mut heartbeat: Heartbeat) {
+        self.catch_up(from, &heartbeat);
+        self.apply_outcomes(from, std::mem::take(&mut heartbeat.outcomes));
+        if let Some(update) = &heartbeat.cordons {
             self.process.apply_cordon_update(update.clone());
         }
-        if self.process.set_peer_usage(from, Some(beat.loads.clone())) {
+        if self.process.set_peer_usage(from, Some(heartbeat.loads.clone())) {
             self.process.report_usage();
         }
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(from) else { return };
-        let differs =
-            |old: &Heartbeat| old.registry_up != beat.registry_up || old.ready != beat.ready;
-        let view_changes = peer.beat.as_ref().is_none_or(differs);
-        let previous = peer.beat.take().and_then(|old| old.cordons);
-        beat.cordons = beat.cordons.or(previous);
-        peer.beat = Some(beat);
+        let differs = |old: &Heartbeat| {
+            old.registry_up != heartbeat.registry_up || old.ready != heartbeat.ready
+        };
+        let view_changes = peer.heartbeat.as_ref().is_none_or(differs);
+        let previous = peer.heartbeat.take().and_then(|old| old.cordons);
+        heartbeat.cordons = heartbeat.cordons.or(previous);
+        peer.heartbeat = Some(heartbeat);
         drop(peers);
         if view_changes {
             self.stale.notify_one();
--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -41,7 +41,7 @@
 use crate::connection::frame::{Frame, Heartbeat};
 use crate::connection::link::{Event, Links, Loss};
 use crate::process::fleet::catchup::{EncodedTargets, Lag};
-use crate::process::fleet::owner::PendingQuestions;
+use crate::process::fleet::owner::PendingPermits;
 use crate::process::migration::Coordinator;
 use crate::process::state::{Process, millis};
 
@@ -61,7 +61,7 @@
 struct Peer {
     member: Member,
     /// Its last heartbeat.
-    beat: Option<Heartbeat>,
+    heartbeat: Option<Heartbeat>,
     /// How long this entry's text has been older than that of the peer.
     text_lag: Lag,
     /// How long this entry's list of targets has been older than that of the peer.
@@ -78,7 +78,7 @@
     alive: Vec<Presence>,
     actives: BTreeSet<id::Host>,
     /// The actives that this entry links to. If it is a leaf, the first is its primary active,
-    /// which announces its in-flight requests and forwards its questions.
+    /// which announces its in-flight requests and forwards its permit requests.
     links: Vec<Member>,
 }
 
@@ -106,7 +106,7 @@
     encoded_targets: Mutex<Option<EncodedTargets>>,
     /// Notified after each computation of the view and when a link opens or closes.
     changed: Notify,
-    questions: PendingQuestions,
+    permits: PendingPermits,
     pub(crate) migrations: Coordinator,
 }
 
@@ -138,7 +138,7 @@
             target_fetch: Mutex::default(),
             encoded_targets: Mutex::default(),
             changed: Notify::new(),
-            questions: PendingQuestions::default(),
+            permits: PendingPermits::default(),
             migrations: Coordinator::default(),
         });
         fleet.refresh();
@@ -180,7 +180,8 @@
     pub(crate) fn watcher_rank(&self) -> Option<usize> {
         let view = self.view();
         let peers = self.peers.lock();
-        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry_up);
+        let works =
+            |peer: &&Peer| peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.registry_up);
         let active = |peer: &&Peer| view.actives.contains(&peer.member.host);
         let mut hosts: Vec<id::Host> =
             peers.values().filter(active).filter(works).map(|p| p.member.host.clone()).collect();
@@ -231,7 +232,8 @@
     /// that this entry lacks even if one of them failed.
     pub(crate) fn peers_reach_registry(&self) -> bool {
         let peers = self.peers.lock();
-        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry_up);
+        let works =
+            |peer: &&Peer| peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.registry_up);
         peers.values().filter(works).count() >= 2
     }
 
@@ -247,15 +249,16 @@
         if peers.is_empty() {
             return Peers::None;
         }
-        let informed = peers.values().any(|peer| peer.beat.as_ref().is_some_and(&has));
+        let informed = peers.values().any(|peer| peer.heartbeat.as_ref().is_some_and(&has));
         if informed { Peers::Informed } else { Peers::Uninformed }
     }
 
     /// Whether neither this entry nor any linked entry watches the targets in the registry.
     pub(crate) fn are_targets_unwatched(&self) -> bool {
         let peers = self.peers.lock();
-        let watched =
-            peers.values().any(|peer| peer.beat.as_ref().is_some_and(|beat| beat.watching));
+        let watched = peers
+            .values()
+            .any(|peer| peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.watching));
         !watched && !self.process.is_watching()
     }
 
@@ -272,7 +275,7 @@
         &self.own.host
     }
 
-    /// Returns the entry to which questions about a key are sent: the owner of the key if this
+    /// Returns the entry to which permit requests for a key are sent: the owner of the key if this
     /// entry is active, or else its primary active, which forwards them to the owner.
     pub(crate) fn owner(&self, key: &str) -> id::Host {
         let view = self.view();
@@ -327,7 +330,8 @@
     /// follow.
     fn followers(&self) -> Vec<id::Host> {
         let peers = self.peers.lock();
-        let follows = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.follows);
+        let follows =
+            |peer: &&Peer| peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.follows);
         peers.values().filter(follows).map(|peer| peer.member.host.clone()).collect()
     }
 
@@ -370,7 +374,7 @@
         }
         // The heartbeats that this entry receives itself override what others announce.
         for peer in peers.values() {
-            let ready = peer.beat.as_ref().is_some_and(|beat| beat.ready);
+            let ready = peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.ready);
             let presence = Presence { member: peer.member.clone(), ready };
             alive.insert(peer.member.host.clone(), presence);
         }
@@ -411,7 +415,7 @@
         let host = member.host.clone();
         let peer = Peer {
             member,
-            beat: None,
+            heartbeat: None,
             text_lag: Lag::default(),
             targets_lag: Lag::default(),
             announced: Subscriber::default(),
@@ -420,7 +424,7 @@
         self.peers.lock().insert(host.clone(), peer);
         self.stale.notify_one();
         self.send_alive(&host);
-        self.send_first_beat(&host);
+        self.send_first_heartbeat(&host);
         self.send_poison(&host);
         self.send_limits(&host);
         self.changed.notify_waiters();
@@ -443,7 +447,7 @@
             Frame::Hello(_) => {}
             Frame::Presence(update) => self.apply_alive(from, update),
             Frame::PresenceRequest => self.send_alive(from),
-            Frame::Heartbeat(beat) => self.handle_beat(from, beat),
+            Frame::Heartbeat(heartbeat) => self.handle_heartbeat(from, heartbeat),
             Frame::Text(message) => self.handle_text_message(from, message),
             Frame::TargetsRequest => self.send_targets(from),
             Frame::Poison(records) => self.apply_poison(from, records),
@@ -455,8 +459,8 @@
                 self.process.apply_cold_update(&update);
                 self.handle_spent(from, update.target.clone(), Frame::ColdSend(update));
             }
-            Frame::PermitRequest { id, permit } => self.handle_question(from, id, permit),
-            Frame::PermitReply { id, wait_ms } => self.handle_answer(id, wait_ms),
+            Frame::PermitRequest { id, permit } => self.handle_permit_request(from, id, permit),
+            Frame::PermitReply { id, wait_ms } => self.handle_permit_reply(id, wait_ms),
             Frame::MigrationRequest { engine, migration } => {
                 self.migrations.enqueue(self, from, &engine, migration)
             }
@@ -528,7 +532,7 @@
         let peers = self.peers.lock();
         let presence = |peer: &Peer| Presence {
             member: peer.member.clone(),
-            ready: peer.beat.as_ref().is_some_and(|beat| beat.ready),
+            ready: peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.ready),
         };
         let mut linked: Vec<Presence> = peers.values().map(presence).collect();
         drop(peers);
--- a/crates/gateway/src/process/fleet/target_limits.rs
+++ b/crates/gateway/src/process/fleet/target_limits.rs
@@ -45,7 +45,7 @@
     /// Counts a request that is sent without permission to a target that is limited or cold. The
     /// owner of the target takes it from its token bucket.
     pub(crate) fn spend(&self, target: &id::Target) {
-        let frame = match self.process.question(target) {
+        let frame = match self.process.required_permit(target) {
             Some(Permit::ColdSend(update)) => Frame::ColdSend(update),
             Some(Permit::LimitedSend(update)) => Frame::LimitedSend(update),
             Some(Permit::Trial(_)) | None => return,
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -99,7 +99,7 @@
         ntex::rt::spawn(async move {
             loop {
                 sleep(DEADLINE_POLL).await;
-                polled.poll_lanes();
+                polled.poll_gates();
             }
         })
         .detach();
--- a/crates/gateway/src/process/state/cordon.rs
+++ b/crates/gateway/src/process/state/cordon.rs
@@ -61,7 +61,7 @@
         self.cordons.lock().heartbeat_update(self.clock.now())
     }
 
-    /// Changes the cordons, logs the difference and refreshes the lanes; returns whether peers need
+    /// Changes the cordons, logs the difference and refreshes the gates; returns whether peers need
     /// the result at once.
     fn update_cordons(
         &self,
@@ -83,7 +83,7 @@
             ::log::info!(domain:% = domain, revision:% = at, source = source; "cordon lifted");
         }
         if changed || first {
-            self.refresh_lanes();
+            self.refresh_gates();
         }
         changed
     }
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -64,7 +64,7 @@
     bounds: RwLock<Bounds>,
     seeds: RwLock<Vec<std::net::SocketAddr>>,
     table: RwLock<Option<Arc<Table>>>,
-    lanes: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
+    gates: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
     /// The active entries, which stagger their requests to an engine that has joined.
     order: Mutex<Order>,
     leases: Mutex<Leases>,
@@ -109,7 +109,7 @@
             bounds: RwLock::new(settings.bounds),
             seeds: RwLock::new(settings.seeds.clone()),
             table: RwLock::default(),
-            lanes: RwLock::default(),
+            gates: RwLock::default(),
             order: Mutex::default(),
             leases: Mutex::default(),
             cordons: Mutex::default(),
@@ -178,8 +178,8 @@
         let new = Arc::new(Table::new(text));
         *table = Some(Arc::clone(&new));
         drop(table);
-        self.open_lanes(&new);
-        self.refresh_lanes();
+        self.open_gates(&new);
+        self.refresh_gates();
         ::log::info!(
             revision = revision, before = before, source = source,
             routes = new.text().routes.len(); "text in force"
@@ -187,18 +187,18 @@
         true
     }
 
-    fn open_lanes(&self, table: &Table) {
+    fn open_gates(&self, table: &Table) {
         let order = self.order.lock().clone();
-        let mut lanes = self.lanes.write();
+        let mut gates = self.gates.write();
         for service in &table.text().services {
-            let lane = lanes.entry(service.name.clone());
-            lane.or_insert_with(|| ServiceGate::with_settings(self.clock, self.gate_settings()))
+            let gate = gates.entry(service.name.clone());
+            gate.or_insert_with(|| ServiceGate::with_settings(self.clock, self.gate_settings()))
                 .set_order(order.clone());
         }
     }
 
     /// Sets the active entries among which requests to a joined engine are staggered, and passes
-    /// them to the lanes.
+    /// them to the gates.
     pub(crate) fn set_order(&self, order: Order) {
         let mut known = self.order.lock();
         if *known == order {
@@ -206,7 +206,7 @@
         }
         known.clone_from(&order);
         drop(known);
-        self.lanes.read().values().for_each(|lane| lane.set_order(order.clone()));
+        self.gates.read().values().for_each(|gate| gate.set_order(order.clone()));
     }
 
     /// Sets the number of active entries, by which the limit on retries is divided. The divisor is
@@ -214,7 +214,7 @@
     pub(crate) fn set_active_entries(&self, count: usize) {
         if self.max_active_entries.fetch_max(count, Ordering::AcqRel) < count {
             let limits = self.retry_limits();
-            self.lanes.read().values().for_each(|lane| lane.set_retries(limits));
+            self.gates.read().values().for_each(|gate| gate.set_retries(limits));
         }
     }
 
@@ -243,8 +243,8 @@
         }
     }
 
-    pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
-        self.lanes.read().get(service).cloned()
+    pub(crate) fn gate(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
+        self.gates.read().get(service).cloned()
     }
 
     /// Requests an early heartbeat, so that other entries learn of a change without waiting for the
--- a/crates/gateway/src/process/state/target_limits.rs
+++ b/crates/gateway/src/process/state/target_limits.rs
@@ -97,9 +97,9 @@
         self.buckets.lock().spend(self.clock.now(), target, &allowance);
     }
 
-    /// The question for the entry that decides for a target, to be asked before a request is sent
-    /// there; `None` where the target is not limited.
-    pub(crate) fn question(&self, target: &id::Target) -> Option<Permit> {
+    /// Returns the permit that must be requested from the entry that decides for a target before a
+    /// request is sent there; `None` if the target is not limited.
+    pub(crate) fn required_permit(&self, target: &id::Target) -> Option<Permit> {
         let now = self.clock.now();
         let Allowance { advertised, cold } = self.allowance(target);
         if cold.is_some() {
--- a/crates/gateway/src/process/state/targets.rs
+++ b/crates/gateway/src/process/state/targets.rs
@@ -1,4 +1,4 @@
-//! The list of targets: how it is read, changed and passed to the lanes.
+//! The list of targets: how it is read, changed and passed to the gates.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,61 +15,61 @@
 use crate::process::state::Process;
 
 impl Process {
-    /// Lets lanes act on the time and drops targets and cordons that have expired.
-    pub(crate) fn poll_lanes(&self) {
-        self.lanes.read().values().for_each(|lane| lane.poll());
+    /// Lets gates act on the time and drops targets and cordons that have expired.
+    pub(crate) fn poll_gates(&self) {
+        self.gates.read().values().for_each(|gate| gate.poll());
         let now = self.clock.now();
         if self.leases.lock().expire(now) {
             ::log::info!("targets still missing after a registry outage were removed");
-            self.refresh_lanes();
+            self.refresh_gates();
         }
         self.expire_cordons();
     }
 
     /// Takes the outcomes of requests at targets that are due to be sent to other entries.
     pub(crate) fn take_outcomes(&self) -> Vec<TargetOutcome> {
-        let lanes = self.lanes.read();
-        let of = |(service, lane): (&id::Service, &Arc<ServiceGate>)| {
+        let gates = self.gates.read();
+        let of = |(service, gate): (&id::Service, &Arc<ServiceGate>)| {
             let service = service.clone();
-            let ending = move |(target, outcome)| TargetOutcome {
+            let announced = move |(target, outcome)| TargetOutcome {
                 service: service.clone(),
                 target,
                 outcome,
             };
-            lane.take_outcomes().into_iter().map(ending)
+            gate.take_outcomes().into_iter().map(announced)
         };
-        lanes.iter().flat_map(of).collect()
+        gates.iter().flat_map(of).collect()
     }
 
     /// Applies the outcomes that another entry observed.
-    pub(crate) fn apply_outcomes(&self, from: &Observer, endings: Vec<TargetOutcome>) {
-        let lanes = self.lanes.read();
-        for ending in endings {
-            if let Some(lane) = lanes.get(&ending.service) {
-                lane.apply_outcome(&ending.target, from.clone(), ending.outcome);
+    pub(crate) fn apply_outcomes(&self, from: &Observer, outcomes: Vec<TargetOutcome>) {
+        let gates = self.gates.read();
+        for observed in outcomes {
+            if let Some(gate) = gates.get(&observed.service) {
+                gate.apply_outcome(&observed.target, from.clone(), observed.outcome);
             }
         }
     }
 
-    /// Passes the current targets to the lanes and wakes running answers.
-    pub(super) fn refresh_lanes(&self) {
-        let lanes = self.lanes.read();
+    /// Passes the current targets to the gates and wakes running answers.
+    pub(super) fn refresh_gates(&self) {
+        let gates = self.gates.read();
         let mut leases = self.leases.lock();
         for target in leases.take_restarted() {
-            lanes.values().for_each(|lane| lane.restarted(&target));
+            gates.values().for_each(|gate| gate.restarted(&target));
         }
-        for (service, lane) in lanes.iter() {
+        for (service, gate) in gates.iter() {
             let targets = leases.ready(service).map(|target| target.id.clone()).collect();
             let cordons = self.cordons.lock();
             let cordoned = leases.ready(service).filter(|target| cordons.contains(&target.domain));
             let cordoned = cordoned.map(|target| target.id.clone()).collect();
             drop(cordons);
-            lane.set_targets_and_cordons(targets, &cordoned);
+            gate.set_targets_and_cordons(targets, &cordoned);
         }
         self.retain_limits(&leases);
         self.confirm_crashes(&leases);
         drop(leases);
-        drop(lanes);
+        drop(gates);
         self.target_changes.send_modify(|count| *count += 1);
     }
 
@@ -96,7 +96,7 @@
         drop(leases);
         if changed {
             ::log::info!(revision:% = at, listed = count, source = source; "targets listed");
-            self.refresh_lanes();
+            self.refresh_gates();
         }
         changed
     }
@@ -110,7 +110,7 @@
             ::log::info!(revision:% = at, change = line.as_str(); "target changed");
         }
         if !new.is_empty() {
-            self.refresh_lanes();
+            self.refresh_gates();
         }
         new
     }
@@ -123,7 +123,7 @@
             leases.mark_draining(target).then(|| leases.get(target).cloned())?
         };
         ::log::info!(target:% = target; "target says that it leaves");
-        self.refresh_lanes();
+        self.refresh_gates();
         left.map(Change::Put)
     }
 
--- a/crates/gateway/src/process/state/usage.rs
+++ b/crates/gateway/src/process/state/usage.rs
@@ -25,9 +25,9 @@
 
     /// Memory that this entry uses at each target.
     pub(crate) fn own_usage(&self) -> Vec<Load> {
-        let lanes: Vec<Arc<ServiceGate>> = self.lanes.read().values().cloned().collect();
+        let gates: Vec<Arc<ServiceGate>> = self.gates.read().values().cloned().collect();
         let mut held: Vec<Load> = Vec::new();
-        for holding in lanes.iter().flat_map(|lane| lane.holdings()) {
+        for holding in gates.iter().flat_map(|gate| gate.holdings()) {
             let Holding { target, tokens, streams, unread } = holding;
             held.push(Load { target, tokens, streams, unread, copies: Tokens::default() });
         }
@@ -65,7 +65,7 @@
         self.peer_usage.lock().get(host).is_some_and(|held| !held.is_empty())
     }
 
-    /// Passes the memory that all entries together use at each engine to the lanes.
+    /// Passes the memory that all entries together use at each engine to the gates.
     pub(crate) fn report_usage(&self) {
         let Some(table) = self.table() else { return };
         let mut usages: HashMap<id::Target, Usage> = HashMap::new();
@@ -78,7 +78,7 @@
             usage.others_unread += held.unread.get();
         }
         for service in &table.text().services {
-            let (Some(engine), Some(lane)) = (&service.engine, self.lane(&service.name)) else {
+            let (Some(engine), Some(gate)) = (&service.engine, self.gate(&service.name)) else {
                 continue;
             };
             let leases = self.leases.lock();
@@ -94,7 +94,7 @@
                 })
                 .collect();
             drop(leases);
-            lane.update_loads(&views);
+            gate.update_loads(&views);
         }
     }
 }
--- a/crates/gateway/src/request/admission.rs
+++ b/crates/gateway/src/request/admission.rs
@@ -38,9 +38,9 @@
     loop {
         let request = context.gate_request(avoid.cloned(), retry);
         let pass =
-            context.lane.admit(request).await.map_err(|refusal| log_refusal(context, refusal))?;
+            context.gate.admit(request).await.map_err(|refusal| log_refusal(context, refusal))?;
         if let Some((exclusion, wait)) = check_limit(worker, pass.target()).await {
-            context.lane.suspend_target(pass.target(), wait, exclusion);
+            context.gate.suspend_target(pass.target(), wait, exclusion);
             // The retry budget has been charged for this attempt already.
             retry = false;
             continue;
@@ -54,7 +54,7 @@
 
 /// Logs why targets were excluded.
 fn log_refusal(context: &Context, refusal: Refusal) -> Rejection {
-    let excluded = context.lane.exclusions();
+    let excluded = context.gate.exclusions();
     log::info!(
         request = context.facts.request.as_str(), reason:% = refusal.reason,
         excluded = excluded.as_str(); "no target takes it"
@@ -65,12 +65,12 @@
 /// Asks the entry that owns the target's token bucket for one request. Returns why and for how long
 /// the target accepts no more, or `None` if the request may be sent now.
 async fn check_limit(worker: &Worker, target: &id::Target) -> Option<(Exclusion, Duration)> {
-    let question = worker.process.question(target)?;
-    let exclusion = match question {
+    let permit = worker.process.required_permit(target)?;
+    let exclusion = match permit {
         Permit::ColdSend(_) => Exclusion::Cold,
         Permit::LimitedSend(_) | Permit::Trial(_) => Exclusion::Limited,
     };
-    let wait = worker.fleet.ask(question, SEND_TIMEOUT).await;
+    let wait = worker.fleet.request_permit(permit, SEND_TIMEOUT).await;
     worker
         .process
         .metrics
@@ -81,7 +81,7 @@
 /// Filters targets, given in order of preference, to those that accept a request now: all targets
 /// without a limit or, if there are none, the first target whose limit grants the request.
 pub(crate) async fn within_limits(worker: &Worker, targets: Vec<Target>) -> Vec<Target> {
-    let limited = |target: &Target| worker.process.question(&target.id).is_some();
+    let limited = |target: &Target| worker.process.required_permit(&target.id).is_some();
     let (limited, unlimited): (Vec<Target>, Vec<Target>) = targets.into_iter().partition(limited);
     if !unlimited.is_empty() {
         return unlimited;
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -76,7 +76,7 @@
     pub(crate) table: Arc<Table>,
     pub(crate) route: Route,
     pub(crate) service: Service,
-    pub(crate) lane: Arc<ServiceGate>,
+    pub(crate) gate: Arc<ServiceGate>,
     pub(crate) workspace: Option<id::Workspace>,
     pub(crate) label: Option<SmolStr>,
     pub(crate) method: Method,
@@ -210,8 +210,8 @@
     };
     let draw = xxhash_rust::xxh3::xxh3_64(facts.request.as_bytes());
     let service = route.service(draw).and_then(|name| table.service(name)).cloned();
-    let lane = service.as_ref().and_then(|service| worker.process.lane(&service.name));
-    let (Some(service), Some(lane)) = (service, lane) else {
+    let gate = service.as_ref().and_then(|service| worker.process.gate(&service.name));
+    let (Some(service), Some(gate)) = (service, gate) else {
         return Err(refuse::no_target(&facts.request));
     };
     let request_timeout = facts.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
@@ -245,7 +245,7 @@
         table,
         route,
         service,
-        lane,
+        gate,
         body,
         deadline: arrived_at + request_timeout,
     })
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -42,7 +42,7 @@
         Decision::Refuse(wait) => Some(wait),
         Decision::Trial => {
             let record = worker.process.poison_record(context.fingerprint)?;
-            let wait = worker.fleet.ask(Permit::Trial(record), TRIAL_TIMEOUT).await;
+            let wait = worker.fleet.request_permit(Permit::Trial(record), TRIAL_TIMEOUT).await;
             if wait.is_none() {
                 context.has_trial.set(true);
                 log_decision(worker, context, "tried", Duration::ZERO);
--- a/crates/gateway/src/version/engine_poll.rs
+++ b/crates/gateway/src/version/engine_poll.rs
@@ -49,7 +49,7 @@
     let ready = used.filter(|usage| process.is_target_ready(&usage.target));
     let known = ready.filter_map(|usage| process.target(&usage.target));
     let has_refuge =
-        |t: &Target| process.lane(&t.service).is_some_and(|lane| lane.has_spare_capacity());
+        |t: &Target| process.gate(&t.service).is_some_and(|gate| gate.has_spare_capacity());
     for target in known.filter(has_refuge) {
         let (process, fleet) = (Arc::clone(process), Arc::clone(fleet));
         ntex::rt::spawn(async move { poll::<P>(&process, &fleet, &target).await }).detach();
--- a/crates/gateway/src/version/watcher.rs
+++ b/crates/gateway/src/version/watcher.rs
@@ -182,8 +182,10 @@
 
     fn peers(&self) -> Peers {
         match self.resource {
-            Resource::Text => self.fleet.peer_state(|beat| beat.text > 0 && beat.cordons.is_some()),
-            Resource::Targets => self.fleet.peer_state(|beat| beat.targets.is_some()),
+            Resource::Text => {
+                self.fleet.peer_state(|heartbeat| heartbeat.text > 0 && heartbeat.cordons.is_some())
+            }
+            Resource::Targets => self.fleet.peer_state(|heartbeat| heartbeat.targets.is_some()),
         }
     }
 
