--- a/crates/gateway/tests/poison.rs
+++ b/crates/gateway/tests/poison.rs
@@ -70,7 +70,7 @@
             .await;
     }
 
-    async fn ask(&self, entry: usize, body: &str) -> Answer {
+    async fn send(&self, entry: usize, body: &str) -> Answer {
         Request::stream("/gen/x", 20).body(body).send(self.entries[entry].callers()).await
     }
 
@@ -81,7 +81,7 @@
             if self.crashes.count() >= 3 {
                 break;
             }
-            self.ask(entry, POISON).await;
+            self.send(entry, POISON).await;
         }
         tokio::time::sleep(REQUEST_INTERVAL * 4).await;
     }
@@ -101,16 +101,16 @@
     fleet.crash_until_suspect().await;
     let crashed = fleet.crashes.count();
     for nth in 0..10 {
-        fleet.ask(nth % entries, POISON).await;
+        fleet.send(nth % entries, POISON).await;
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     let more = fleet.crashes.count() - crashed;
     assert!(more <= MAX_LATE_SENDS, "{more} more targets crashed");
-    let refused = fleet.ask(0, POISON).await;
+    let refused = fleet.send(0, POISON).await;
     assert_eq!(refused.status, 503, "{refused:?}");
     assert!(refused.body.contains("\"ran\":\"no\""), "{refused:?}");
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
-    let served = fleet.ask(entries - 1, "another").await;
+    let served = fleet.send(entries - 1, "another").await;
     assert_eq!((served.status, served.body, served.whole), (200, events(1, 2), true));
 }
 
@@ -121,12 +121,12 @@
     let mut fleet = Fleet::open(2, RESUMABLE).await;
     fleet.crash_until_suspect().await;
     for nth in 0..4 {
-        fleet.ask(nth % 2, POISON).await;
+        fleet.send(nth % 2, POISON).await;
     }
     let crashed = fleet.crashes.count();
     fleet.join().await;
     for _ in 0..6 {
-        assert_eq!(fleet.ask(2, POISON).await.status, 503);
+        assert_eq!(fleet.send(2, POISON).await.status, 503);
     }
     assert_eq!(fleet.crashes.count(), crashed);
 }
--- a/crates/gateway/tests/registry_restore.rs
+++ b/crates/gateway/tests/registry_restore.rs
@@ -41,7 +41,7 @@
     fleet
 }
 
-async fn ask(entry: &Gateway) -> u16 {
+async fn request_status(entry: &Gateway) -> u16 {
     Request::new("POST", "/web/x").body("b").send(entry.callers()).await.status
 }
 
@@ -50,7 +50,7 @@
     for entry in fleet {
         let before = target.seen().len();
         eventually(async || {
-            ask(entry).await;
+            request_status(entry).await;
             target.seen().len() > before
         })
         .await;
@@ -101,7 +101,7 @@
     tokio::time::sleep(PROPAGATION).await;
     let before = new.seen().len();
     for entry in fleet.iter().cycle().take(6 * entries) {
-        assert_eq!(ask(entry).await, 200);
+        assert_eq!(request_status(entry).await, 200);
     }
     assert!(new.seen().len() >= before + entries, "{} more requests", new.seen().len() - before);
 }
@@ -128,7 +128,7 @@
     restore(&registry, copy, || {}).await;
     tokio::time::sleep(PROPAGATION).await;
     for entry in fleet.iter().cycle().take(12) {
-        assert_eq!(ask(entry).await, 200);
+        assert_eq!(request_status(entry).await, 200);
     }
     assert_eq!(gone.seen().len(), before);
 }
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -197,10 +197,10 @@
         let moves = Arc::clone(&moves);
         let script = move |seen: &Seen| {
             if seen.line().starts_with("POST /v1/runs/r-1/move") {
-                let asked: Move = serde_json::from_str(&seen.body).expect("a move");
+                let request: Move = serde_json::from_str(&seen.body).expect("a move");
                 let nth = moves.fetch_add(1, Ordering::SeqCst);
                 assert_eq!(
-                    asked.last,
+                    request.last,
                     nth == 1,
                     "a copy of the running stream first, then of the rest"
                 );
@@ -350,9 +350,9 @@
                 return answer(200, &serde_json::to_string(&Report { leaving }).expect("JSON"));
             }
             if seen.line().starts_with("POST /v1/runs/r-1/move") {
-                let asked: Move = serde_json::from_str(&seen.body).expect("a move");
+                let request: Move = serde_json::from_str(&seen.body).expect("a move");
                 let copied = Copied { copy: Some("c-1".into()) };
-                return match asked.last {
+                return match request.last {
                     true => final_move(),
                     false => answer(200, &serde_json::to_string(&copied).expect("JSON")),
                 };
--- a/crates/gateway/tests/targets.rs
+++ b/crates/gateway/tests/targets.rs
@@ -67,14 +67,14 @@
     registry.forget();
     registry.set_mood(Mood::Well);
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    let ask = async || Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
-    assert_eq!(ask().await.status, 200);
+    let send = async || Request::new("POST", "/web/x").body("b").send(gateway.callers()).await;
+    assert_eq!(send().await.status, 200);
     registry.put(second.listed.clone());
     // The first target does not renew its lease, so it is removed.
     eventually(async || {
         let mut bodies = Vec::new();
         for _ in 0..8 {
-            bodies.push(ask().await.body);
+            bodies.push(send().await.body);
         }
         bodies.iter().all(|body| body == "second")
     })
--- a/crates/gateway/tests/texts.rs
+++ b/crates/gateway/tests/texts.rs
@@ -45,17 +45,17 @@
         registry.put(target.listed.clone());
     }
     let gateway = gateway(&registry).await;
-    let ask = async |request: Request| request.body("b").send(gateway.callers()).await;
-    assert_eq!(ask(Request::new("POST", "/web/x")).await.body, "web");
-    assert_eq!(ask(Request::new("POST", "/web/inner/x")).await.body, "inner");
-    assert_eq!(ask(Request::new("POST", "/none/x")).await.status, 404);
-    assert_eq!(ask(Request::keyless("POST", "/open/x")).await.body, "open");
-    assert_eq!(ask(Request::keyless("POST", "/web/x")).await.status, 401);
+    let send = async |request: Request| request.body("b").send(gateway.callers()).await;
+    assert_eq!(send(Request::new("POST", "/web/x")).await.body, "web");
+    assert_eq!(send(Request::new("POST", "/web/inner/x")).await.body, "inner");
+    assert_eq!(send(Request::new("POST", "/none/x")).await.status, 404);
+    assert_eq!(send(Request::keyless("POST", "/open/x")).await.body, "open");
+    assert_eq!(send(Request::keyless("POST", "/web/x")).await.status, 401);
     let unknown_key = Request::keyless("POST", "/web/x").header("authorization", "Bearer other");
-    assert_eq!(ask(unknown_key).await.status, 401);
-    assert_eq!(ask(Request::get("/web/x")).await.status, 404, "another host");
+    assert_eq!(send(unknown_key).await.status, 401);
+    assert_eq!(send(Request::get("/web/x")).await.status, 404, "another host");
     let two_hosts = Request::new("POST", "/web/x").header("host", "other.example");
-    assert_eq!(ask(two_hosts).await.status, 400, "two hosts");
+    assert_eq!(send(two_hosts).await.status, 400, "two hosts");
 }
 
 /// Guards against a revoked key or a removed route being accepted seconds after the operators
@@ -67,13 +67,13 @@
     let target = Standin::open("t-1", "web", |_| answer(200, "web")).await;
     registry.put(target.listed.clone());
     let gateway = gateway(&registry).await;
-    let ask =
+    let send =
         async || Request::new("POST", "/web/x").body("b").send(gateway.callers()).await.status;
-    assert_eq!(ask().await, 200);
+    assert_eq!(send().await, 200);
     let mut newer = text(9, vec![web()]);
     newer.workspaces[0].keys = vec!["k-2".into()];
     registry.publish(newer);
-    eventually(async || ask().await == 401).await;
+    eventually(async || send().await == 401).await;
 }
 
 /// Guards against a removed route being served again because a registry that serves stale copies
