--- a/crates/gateway/src/process/copy_usage.rs
+++ b/crates/gateway/src/process/copy_usage.rs
@@ -11,8 +11,9 @@
 /// The entry that makes a copy announces its memory like that of its own in-flight answers.
 /// Otherwise only the engine knows of memory that is on its way to it, or that stays there until
 /// the answer resumes from it: entries see free memory and send prompts, which then wait inside the
-/// engine for memory to be freed, with everything queued behind them. On the larger deployment, 175 of the 273 prompts that had not begun one second after they were sent were at an engine that
-/// held memory for copies, 3,000 tokens at the median and 13,000 at most.
+/// engine for memory to be freed, with everything queued behind them. In a large fleet, 175 of the
+/// 273 prompts that had not begun one second after they were sent were at an engine that held
+/// memory for copies, 3,000 tokens at the median and 13,000 at most.
 #[derive(Debug)]
 pub(crate) struct CopyUsage {
     process: Arc<Process>,
--- a/crates/gateway/src/process/fleet/owner.rs
+++ b/crates/gateway/src/process/fleet/owner.rs
@@ -106,7 +106,8 @@
         self.links.send(from, &Frame::PermitReply { id: number, wait_ms: wait.map(millis) });
     }
 
-    /// Delivers a reply to the waiting request, or forwards it to the leaf that requested the permit.
+    /// Delivers a reply to the waiting request, or forwards it to the leaf that requested the
+    /// permit.
     pub(super) fn handle_permit_reply(&self, number: u64, wait_ms: Option<u64>) {
         match self.permits.remove(number) {
             Some(Waiter::Local(waiter)) => {
--- a/crates/gateway/src/request/migration.rs
+++ b/crates/gateway/src/request/migration.rs
@@ -32,10 +32,9 @@
 /// Fraction of an engine's memory that backups leave free for answers.
 ///
 /// Backups protect against engines that stop without notice. They cost memory, and bandwidth that
-/// migrations from engines that do give notice need. If every stop has a notice, the benchmark
-/// score is 0.706 and 0.484 on two deployments with a reserve of 0.3, 0.713 and 0.513 with 0.65,
-/// and 0.721 and 0.515 without backups. With four crashes without notice it is 0.881 with a reserve
-/// of 0.65 and 0.837 without backups.
+/// migrations from engines that do give notice need. If every stop has a notice, callers are served
+/// best without backups, almost as well with this reserve, and clearly worse with one of 0.3. With
+/// four crashes without notice, backups with this reserve help far more than they cost.
 const BACKUP_RESERVE: f64 = 0.65;
 
 /// Delay before the next attempt to migrate when every engine is at its limit.
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -51,10 +51,9 @@
 ///
 /// With different urgencies a full engine preempts a running answer to begin a more urgent one, and
 /// recomputes its prompt later: its caller sees a pause of a second in the middle of the answer,
-/// and the work is lost. On two deployments under heavy load, equal urgencies reduce preemptions
-/// from 140 a day on one of them to between 57 and 106 on both, and change the benchmark score from
-/// 0.508 to 0.534 and from 0.413 to 0.399. With long answers ahead of short ones there are up to
-/// 229.
+/// and the work is lost. In two fleets under heavy load, equal urgencies lower the preemptions from
+/// 140 a day in one of them to between 57 and 106 in both; callers of one fleet gain more than
+/// those of the other lose. With long answers ahead of short ones there are up to 229.
 pub(crate) const URGENCY: u8 = 5;
 
 /// State of the process that a worker thread uses to serve requests.
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -27,8 +27,8 @@
     refuse::quarantined(&context.facts.request, wait)
 }
 
-/// Acquires permission to send a request to a target, with a trial if it needs one. Returns `None`
-/// if the request may be sent now, or else the time to wait.
+/// Requests the permit for a trial if a request needs one. Returns `None` if the request may be
+/// sent to a target now, or else the time to wait.
 ///
 /// Called before every send except a transfer of a running run: a poison request crashes targets
 /// however it reaches them.
--- a/crates/gateway/src/version/watcher.rs
+++ b/crates/gateway/src/version/watcher.rs
@@ -45,8 +45,8 @@
 
 /// How long a watch of targets waits. A registry that hangs is noticed after this plus
 /// [`WATCH_SLACK`], which is less than the time engines run on after a drain notice; from then on
-/// engines are polled directly. Without changes it costs some 20 calls a day on the two smaller
-/// deployments.
+/// engines are polled directly. Without changes it costs some 20 calls a day in small
+/// fleets.
 const TARGETS_WATCH_WAIT: Duration = Duration::from_secs(1);
 
 /// Time after the wait of a watch within which its reply must begin.
--- a/crates/policy/src/gate/migration.rs
+++ b/crates/policy/src/gate/migration.rs
@@ -29,12 +29,9 @@
 /// Mean load of all targets below which it pays to look for targets that leave unannounced.
 ///
 /// While the registry is unavailable, replacements of reclaimed engines cannot be seen either. On
-/// full engines, answers that are migrated displace others and new ones wait. With engines nine
-/// tenths full (one day of each of the two larger deployments, three seeds each) the mean value of
-/// a request to its caller was 0.492 and 0.392 without looking, 0.425 and 0.339 with it, 0.466 and
-/// 0.372 with a limit of 0.75, 0.483 and 0.387 with 0.6. With engines a third to half full (the
-/// same on the smaller deployments, six seeds) it was 0.642 and 0.451, 0.660 and 0.457, 0.658 and
-/// 0.460, 0.655 and 0.462.
+/// full engines, answers that are migrated displace others and new ones wait: with engines nine
+/// tenths full, looking for such targets costs callers more than it saves, and the higher this
+/// limit, the more. With engines a third to half full, looking helps.
 const MAX_MEAN_LOAD: f64 = 0.6;
 
 /// Preference for a target as the destination of a migrating answer, the best first.
@@ -91,10 +88,9 @@
     ///
     /// `reserve` is the part of a target's memory that copies made ahead must leave free. With it,
     /// only targets are returned where the answer fits until its end, and none if the targets as a
-    /// whole are too full: an engine that has just joined is empty, but needed for answers. On two
-    /// days of a deployment that is eight tenths full such copies lower the mean value of a request
-    /// by 0.02 and 0.055; on days with crashes they raise it by 0.035 to 0.05 where there is room
-    /// and do not raise it where there is none.
+    /// whole are too full: an engine that has just joined is empty, but needed for answers. In a
+    /// fleet that is eight tenths full, copies made ahead do more harm than good. If engines crash,
+    /// they help where there is room and do not help where there is none.
     ///
     /// Without `reserve`, every target that is up is returned: how long the answer becomes is only
     /// predicted, and an answer that is preempted at its new target is late, while one that stays
--- a/crates/policy/src/gate/mod.rs
+++ b/crates/policy/src/gate/mod.rs
@@ -2,9 +2,9 @@
 //! which target it is sent.
 //!
 //! One gate serves one service in one process. The daemon keeps each gate under a lock of its own
-//! and carries out its decisions; virtual-time benches drive the same type. The gate only composes
-//! mechanisms that have modules of their own: memory prediction, fair queueing, shares, placement,
-//! outlier ejection and retry budgets.
+//! and carries out its decisions; simulations in virtual time drive the same type. The gate only
+//! composes mechanisms that have modules of their own: memory prediction, fair queueing, shares,
+//! placement, outlier ejection and retry budgets.
 
 mod migration;
 mod place;
@@ -45,8 +45,8 @@
 const FIRST_TOKEN: Duration = Duration::from_millis(500);
 
 /// Factor on predicted waits: requests that arrive later may be served first, and the drain rate of
-/// one entry fluctuates. With 1.2, 2 in 100 accepted requests of the bench pattern `overload`
-/// missed their deadlines, with 1.5 0.5 in 100.
+/// one entry fluctuates. Under overload, 2 in 100 accepted requests miss their deadlines with 1.2,
+/// and 0.5 in 100 with 1.5.
 const WAIT_FACTOR: f64 = 1.5;
 
 /// Shortest and longest retry delay of a refusal, before it is spread.
@@ -432,9 +432,9 @@
             let retry = self.drain.wait(work).unwrap_or(RETRY_AFTER.0);
             return Some(refuse(rng, Reason::QueueFull, retry));
         }
-        let patience = request.deadline.since(now);
-        let late = wait.filter(|wait| self.settings.refuse && *wait > patience)?;
-        Some(refuse(rng, Reason::Deadline, late - patience))
+        let time_left = request.deadline.since(now);
+        let late = wait.filter(|wait| self.settings.refuse && *wait > time_left)?;
+        Some(refuse(rng, Reason::Deadline, late - time_left))
     }
 
     fn note_prompt(&mut self, request: &Request) {
--- a/crates/policy/src/gate/settings.rs
+++ b/crates/policy/src/gate/settings.rs
@@ -5,7 +5,7 @@
 use crate::placement;
 use crate::retry;
 
-/// Selects the mechanisms of a gate. Benches and tests turn one off to show its effect.
+/// Selects the mechanisms of a gate. Simulations and tests turn one off to show its effect.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Objective for the time between tokens of live generations.
--- a/crates/policy/src/heartbeat.rs
+++ b/crates/policy/src/heartbeat.rs
@@ -4,10 +4,10 @@
 //! soon, or several entries fill the same free capacity of an engine; meanwhile regular heartbeats
 //! must keep their interval, or entries that receive nothing else consider the sender dead.
 //!
-//! A timer that is reset by each send never expires. On the larger of the users' deployments, the
-//! two strongest hosts of each failure domain begin some fifteen generations a second each. With
-//! such a timer the leaves, which receive only regular heartbeats, closed their links about once a
-//! second and read the registry instead, which caused 3,755 of the 4,127 registry calls of a day.
+//! A timer that is reset by each send never expires. In a large fleet, the two strongest hosts of
+//! each failure domain begin some fifteen generations a second each. With such a timer the leaves,
+//! which receive only regular heartbeats, closed their links about once a second and read the
+//! registry instead, which caused 3,755 of the 4,127 registry calls of a day.
 //! The schedule is therefore independent of sends.
 
 use std::time::Duration;
--- a/crates/policy/src/memory.rs
+++ b/crates/policy/src/memory.rs
@@ -2,7 +2,7 @@
 //!
 //! Memory runs full in the middle of generations. An engine that takes whatever fits now later
 //! preempts answers that it began, and computes them again: 38,680 preemptions in half an hour of
-//! the bench pattern `brno-night` under round robin.
+//! a heavy overnight load that is placed round robin.
 //!
 //! The prediction combines a report that is seconds old with the state that this entry alone knows
 //! exactly: its own running answers and the length that each has reached. What other entries hold
@@ -21,14 +21,14 @@
 const MARGIN: f64 = 0.03;
 
 /// Standard deviations above the mean that must fit for answers that nobody watches. A higher value
-/// avoids preemptions at the cost of throughput: the bench pattern `brno-night` (seed 3) had 236
-/// preemptions at 2.0, 44 at 2.5, 1 at 3.0 and none at 3.5, with a throughput of 0.970, 0.957,
-/// 0.942 and 0.883 of the engines' maximum.
+/// avoids preemptions at the cost of throughput: half an hour of the same load has 236 preemptions
+/// at 2.0, 44 at 2.5, 1 at 3.0 and none at 3.5, with a throughput of 0.970, 0.957, 0.942 and 0.883
+/// of the engines' maximum.
 const SIGMAS_OVERNIGHT: f32 = 3.0;
 
 /// Standard deviations above the mean that must fit for live answers, whose callers prefer an early
-/// start: the bench patterns `oslo-day`, `lag` and `overload` have hardly a preemption at either
-/// value, and `hot-caller` waits longer at 3.0.
+/// start. By day, with old reports and under overload there is hardly a preemption at either value,
+/// and beside a workspace that sends in bulk callers wait longer at 3.0.
 const SIGMAS_LIVE: f32 = 1.5;
 
 /// Returns the standard deviations above the mean that must fit for a class.
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -35,10 +35,9 @@
 ///
 /// Prompts take 0.2 s of prefill, and engines spend six tenths of the time on it. With two targets
 /// compared, 0.38 of the prompts wait behind another that was sent to the same engine, with six
-/// 0.11 (see `tests/reading.rs`). Comparing all targets is no better: entries that send within the
-/// same 20 ms would choose the same one again. On six busy days of the two larger deployments the
-/// mean value of a request to its caller was 0.534 and 0.399 with two, 0.535 and 0.421 with six,
-/// and half of the pages began 0.05 s sooner.
+/// 0.11 (see `tests/prefill_placement.rs`). Under heavy load, six are never worse for callers than
+/// two, and half of the requests of one kind begin 0.05 s sooner. Comparing all targets is no
+/// better: entries that send within the same 20 ms would choose the same one again.
 pub const CHOICES_FRESH: usize = 6;
 
 /// The prefix of a request that has none.
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -19,14 +19,13 @@
 
 use rand::Rng;
 
-/// Part of an engine's memory that late answers leave free: two ordinary answers of six. On two
-/// busy days of the larger deployment the mean value of a request to its caller was 0.612 without a
-/// reserve, 0.637 with 0.2, 0.634 with 0.35, and 0.638 with 0.35 where late requests waited 4 s.
+/// Part of an engine's memory that late answers leave free: two ordinary answers of six. Without a
+/// reserve, callers are served worse under heavy load; a reserve of 0.2 has about the same effect.
 pub(crate) const RESERVE: f64 = 0.35;
 
 /// How long a late request waits for room before it is refused. Room becomes free within tenths of
-/// a second or not for seconds: with 4 s the mean value was the same within noise, and callers
-/// learned of the refusal later.
+/// a second or not for seconds: with 4 s callers are served no better, and learn of the
+/// refusal later.
 pub(crate) const MAX_WAIT: Duration = Duration::from_millis(300);
 
 /// Shortest retry delay: reclaimed engines are replaced after four to six seconds. The delay is
--- a/crates/policy/src/stagger.rs
+++ b/crates/policy/src/stagger.rs
@@ -4,7 +4,7 @@
 //! milliseconds, and each entry has requests that wait for room. Without a delay every entry sends
 //! all of them to the engines that look empty before it has learned what the others sent. An engine
 //! computes one prompt after the other, in 0.2 to 0.4 s each, so the last of nineteen begins four
-//! seconds late: on a busy day of the larger deployment, 176 of the 258 long answers that began
+//! seconds late: on a busy day of a large fleet, 176 of the 258 long answers that began
 //! late had been sent to an engine less than a second old.
 //!
 //! The entries therefore begin one after another, 50 ms apart, in an order that differs from engine
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -23,8 +23,8 @@
 ///
 /// Prompts of several entries can meet at an engine that has room. They are computed one after the
 /// other at some 14 tokens per millisecond, and the last of them begins a second late while other
-/// engines are idle. On the users' deployments a prompt has 3,000 tokens, so that one waiting
-/// prompt counts as a quarter of an engine.
+/// engines are idle. A typical prompt has 3,000 tokens, so that one waiting prompt counts as a
+/// quarter of an engine.
 const PREFILL_LOAD: f64 = 12_000.0;
 
 /// Prompts of mean length that may wait for prefill at one target, the new one included.
@@ -33,7 +33,7 @@
 /// overtaken by a later one; at the entry both are possible. The bound is a little above two since
 /// one prompt is computed while the next arrives, and since prompt lengths differ by a third.
 /// Together with [`crate::stagger`] it lowers the long answers of a busy day that begin late from
-/// 258 to 157; neither of the two alone raises the mean value of a request.
+/// 258 to 157; neither of the two alone serves callers better.
 const MAX_PREFILL_PROMPTS: f64 = 2.25;
 
 /// Load that breaks ties between targets by the time of the last send; far below the load of one
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -5,7 +5,7 @@
 use crate::time::Time;
 
 /// Window of the moving average, in seconds: long enough to hold some tens of answers at one entry,
-/// short enough to show a lost engine before the shortest patience of a caller has passed.
+/// short enough to show a lost engine before the shortest timeout of a caller has passed.
 const WINDOW_S: f64 = 20.0;
 
 /// Number of requests that must have left the queue before the rate is used; their lengths differ
@@ -44,7 +44,7 @@
         self.requests += 1.0;
     }
 
-    /// Returns the rate in tokens a second; `None` until enough requests and time were measured.
+    /// Returns the rate in tokens a second; `None` until enough requests and time are recorded.
     pub fn rate(&self) -> Option<f64> {
         (self.time > 1.0 && self.requests >= MIN_REQUESTS).then(|| (self.work / self.time).max(1.0))
     }
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -239,8 +239,8 @@
     assert!(!verifies("key", Role::Dialer, a, b, 2), "for another host");
 }
 
-/// The number of messages that a member sends must not grow with the fleet; the `slopes` benchmark
-/// covers bytes.
+/// The number of messages that a member sends must not grow with the fleet; the `slopes`
+/// program checks bytes.
 #[test]
 fn message_rate_per_member_does_not_grow_with_the_fleet() {
     let rate = |size: usize| {
--- a/crates/policy/tests/prefill_placement.rs
+++ b/crates/policy/tests/prefill_placement.rs
@@ -7,11 +7,10 @@
 use rand::{Rng, SeedableRng};
 use yare::parameterized;
 
-/// Engines of a large deployment, without those on hosts that are being reclaimed.
+/// Engines of a large fleet, without those on hosts that are being reclaimed.
 const ENGINES: usize = 38;
 
-/// Prompts per second of that deployment: 28 for pages and 32 for villages, its two kinds of
-/// request.
+/// Prompts per second of that fleet: 28 and 32 of its two kinds of request.
 const PROMPTS_PER_S: f64 = 60.0;
 
 /// Prefill time of one prompt: 2,600 tokens at 14 per millisecond, with half of the engine's time
--- a/crates/policy/tests/shedding.rs
+++ b/crates/policy/tests/shedding.rs
@@ -9,8 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Engines, their memory and a prompt in tokens, as on the larger deployment at a sixth of its
-/// size.
+/// Engines, their memory and a prompt in tokens, as in a large fleet at a sixth of its size.
 const ENGINES: usize = 9;
 const MEMORY: u64 = 21_874;
 const PROMPT: u64 = 3_000;
--- a/crates/policy/tests/stagger.rs
+++ b/crates/policy/tests/stagger.rs
@@ -11,7 +11,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Entries that carry the traffic of the larger deployment.
+/// Entries that carry the traffic of a large fleet.
 const ENTRIES: usize = 6;
 
 /// Engines that join at the same time there.
