--- a/crates/gateway/src/connection/frame.rs
+++ b/crates/gateway/src/connection/frame.rs
@@ -232,10 +232,10 @@
 }
 
 /// Sums the loads of several entries by target.
-pub(crate) fn sum<'a>(held: impl Iterator<Item = &'a Load>) -> Vec<Load> {
+pub(crate) fn sum<'a>(loads: impl Iterator<Item = &'a Load>) -> Vec<Load> {
     let mut sums: BTreeMap<id::Target, Load> = BTreeMap::new();
-    for one in held {
-        sums.entry(one.target.clone()).or_insert_with(|| Load::none(&one.target)).add(one);
+    for load in loads {
+        sums.entry(load.target.clone()).or_insert_with(|| Load::none(&load.target)).add(load);
     }
     sums.into_values().collect()
 }
--- a/crates/gateway/src/process/fleet/heartbeat.rs
+++ b/crates/gateway/src/process/fleet/heartbeat.rs
@@ -19,7 +19,7 @@
     }
 
     /// Creates a heartbeat with this entry's state. The caller fills in `follows` and `outcomes`.
-    fn new_heartbeat(&self, held: Vec<Load>) -> Heartbeat {
+    fn new_heartbeat(&self, loads: Vec<Load>) -> Heartbeat {
         Heartbeat {
             follows: false,
             outcomes: Vec::new(),
@@ -29,7 +29,7 @@
             cordons: self.process.cordon_heartbeat_update(),
             registry_up: self.process.is_registry_available(),
             watching: self.process.is_watching(),
-            loads: held,
+            loads,
         }
     }
 
@@ -42,8 +42,8 @@
         let outcomes = self.process.take_outcomes();
         if self.is_active() {
             // Includes what leaves have in flight; other actives announce their own load.
-            let held = self.process.usage_with(|host| !view.actives.contains(host));
-            let heartbeat = Heartbeat { outcomes, ..self.new_heartbeat(held) };
+            let loads = self.process.usage_with(|host| !view.actives.contains(host));
+            let heartbeat = Heartbeat { outcomes, ..self.new_heartbeat(loads) };
             self.links.send_all(actives.iter(), &Frame::Heartbeat(heartbeat));
             return;
         }
@@ -51,10 +51,10 @@
         let source = self.change_source();
         for active in &actives {
             // The load is sent to one active only, or it would be counted twice.
-            let held = if Some(active) == primary { self.process.own_usage() } else { Vec::new() };
+            let loads = if Some(active) == primary { self.process.own_usage() } else { Vec::new() };
             let follows = Some(active) == source.as_ref();
             let outcomes = outcomes.clone();
-            let heartbeat = Heartbeat { follows, outcomes, ..self.new_heartbeat(held) };
+            let heartbeat = Heartbeat { follows, outcomes, ..self.new_heartbeat(loads) };
             self.links.send(active, &Frame::Heartbeat(heartbeat));
         }
     }
@@ -83,8 +83,8 @@
             leaves.into_iter().partition(|leaf| self.process.has_usage(leaf));
         self.links.send_all(idle.iter(), &Frame::Heartbeat(self.new_heartbeat(Vec::new())));
         for leaf in &busy {
-            let held = self.process.usage_with(|host| host != leaf);
-            self.links.send(leaf, &Frame::Heartbeat(self.new_heartbeat(held)));
+            let loads = self.process.usage_with(|host| host != leaf);
+            self.links.send(leaf, &Frame::Heartbeat(self.new_heartbeat(loads)));
         }
     }
 
--- a/crates/gateway/src/process/state/usage.rs
+++ b/crates/gateway/src/process/state/usage.rs
@@ -26,15 +26,15 @@
     /// Returns the memory that this entry uses at each target.
     pub(crate) fn own_usage(&self) -> Vec<Load> {
         let gates: Vec<Arc<ServiceGate>> = self.gates.read().values().cloned().collect();
-        let mut held: Vec<Load> = Vec::new();
+        let mut loads: Vec<Load> = Vec::new();
         for holding in gates.iter().flat_map(|gate| gate.holdings()) {
             let Holding { target, tokens, streams, unread } = holding;
-            held.push(Load { target, tokens, streams, unread, copies: Tokens::default() });
+            loads.push(Load { target, tokens, streams, unread, copies: Tokens::default() });
         }
         for (target, tokens) in self.copies.lock().iter() {
-            held.push(Load { copies: Tokens::new(*tokens), ..Load::none(target) });
+            loads.push(Load { copies: Tokens::new(*tokens), ..Load::none(target) });
         }
-        sum(held.iter())
+        sum(loads.iter())
     }
 
     /// Returns the memory that this entry and the other entries selected by `is_included` use at
@@ -43,19 +43,19 @@
         let own = self.own_usage();
         let others = self.peer_usage.lock();
         let included =
-            others.iter().filter(|(host, _)| is_included(host)).flat_map(|(_, held)| held);
+            others.iter().filter(|(host, _)| is_included(host)).flat_map(|(_, loads)| loads);
         sum(own.iter().chain(included))
     }
 
     /// Sets what another entry uses, `None` where the entry is gone; returns whether that changed
     /// anything.
-    pub(crate) fn set_peer_usage(&self, host: &id::Host, held: Option<Vec<Load>>) -> bool {
+    pub(crate) fn set_peer_usage(&self, host: &id::Host, loads: Option<Vec<Load>>) -> bool {
         let mut others = self.peer_usage.lock();
-        if others.get(host) == held.as_ref() {
+        if others.get(host) == loads.as_ref() {
             return false;
         }
-        match held {
-            Some(held) => others.insert(host.clone(), held),
+        match loads {
+            Some(loads) => others.insert(host.clone(), loads),
             None => others.remove(host),
         };
         true
@@ -63,27 +63,27 @@
 
     /// Returns whether an entry reported that it uses memory at any target.
     pub(crate) fn has_usage(&self, host: &id::Host) -> bool {
-        self.peer_usage.lock().get(host).is_some_and(|held| !held.is_empty())
+        self.peer_usage.lock().get(host).is_some_and(|loads| !loads.is_empty())
     }
 
     /// Passes the memory that all entries together use at each engine to the gates.
     pub(crate) fn report_usage(&self) {
         let Some(table) = self.table() else { return };
         let mut usages: HashMap<id::Target, Usage> = HashMap::new();
-        for held in &self.own_usage() {
-            usages.entry(held.target.clone()).or_default().add(held);
+        for load in &self.own_usage() {
+            usages.entry(load.target.clone()).or_default().add(load);
         }
-        for held in self.peer_usage.lock().values().flatten() {
-            let usage = usages.entry(held.target.clone()).or_default();
-            usage.add(held);
-            usage.others_unread += held.unread.get();
+        for load in self.peer_usage.lock().values().flatten() {
+            let usage = usages.entry(load.target.clone()).or_default();
+            usage.add(load);
+            usage.others_unread += load.unread.get();
         }
         for service in &table.text().services {
             let (Some(engine), Some(gate)) = (&service.engine, self.gate(&service.name)) else {
                 continue;
             };
             let leases = self.leases.lock();
-            let views: Vec<TargetLoad> = leases
+            let loads: Vec<TargetLoad> = leases
                 .ready(&service.name)
                 .map(|target| {
                     let usage = usages.get(&target.id).copied().unwrap_or_default();
@@ -95,7 +95,7 @@
                 })
                 .collect();
             drop(leases);
-            gate.update_loads(&views);
+            gate.update_loads(&loads);
         }
     }
 }
@@ -109,8 +109,8 @@
 }
 
 impl Usage {
-    fn add(&mut self, held: &Load) {
-        self.tokens += held.tokens.get() + held.copies.get();
-        self.streams += held.streams;
+    fn add(&mut self, load: &Load) {
+        self.tokens += load.tokens.get() + load.copies.get();
+        self.streams += load.streams;
     }
 }
