--- a/crates/gateway/src/process/fleet/mod.rs
+++ b/crates/gateway/src/process/fleet/mod.rs
@@ -61,7 +61,7 @@
 struct Peer {
     member: Member,
     /// Its last heartbeat.
-    beat: Option<Heartbeat>,
+    heartbeat: Option<Heartbeat>,
     /// How long this entry's text has been older than that of the peer.
     text_lag: Lag,
     /// How long this entry's list of targets has been older than that of the peer.
@@ -167,7 +167,7 @@
         ready
     }
 
-    /// Whether another entry accepts callers.
+    /// Returns whether another entry accepts callers.
     pub(crate) fn has_ready_peer(&self) -> bool {
         self.ready_members().iter().any(|member| member.host != self.own.host)
     }
@@ -180,7 +180,8 @@
     pub(crate) fn watcher_rank(&self) -> Option<usize> {
         let view = self.view();
         let peers = self.peers.lock();
-        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry_up);
+        let works =
+            |peer: &&Peer| peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.registry_up);
         let active = |peer: &&Peer| view.actives.contains(&peer.member.host);
         let mut hosts: Vec<id::Host> =
             peers.values().filter(active).filter(works).map(|p| p.member.host.clone()).collect();
@@ -193,13 +194,13 @@
         ranked.iter().take(WATCHERS).position(|host| **host == self.own.host)
     }
 
-    /// Whether this entry is a leaf with a link, so that others serve the callers and announce to
-    /// it what it lacks.
+    /// Returns whether this entry is a leaf with a link, so that others serve the callers and
+    /// announce to it what it lacks.
     pub(crate) fn is_standby(&self) -> bool {
         !self.is_active() && !self.peers.lock().is_empty()
     }
 
-    /// Whether this entry has no link to any other.
+    /// Returns whether this entry has no link to any other.
     pub(crate) fn is_alone(&self) -> bool {
         self.peers.lock().is_empty()
     }
@@ -227,15 +228,16 @@
         ranked.into_iter().take(count).cloned().collect()
     }
 
-    /// Whether at least two linked entries reach the registry, so that they would announce a text
-    /// that this entry lacks even if one of them failed.
+    /// Returns whether at least two linked entries reach the registry, so that they would announce
+    /// a text that this entry lacks even if one of them failed.
     pub(crate) fn peers_reach_registry(&self) -> bool {
         let peers = self.peers.lock();
-        let works = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.registry_up);
+        let works =
+            |peer: &&Peer| peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.registry_up);
         peers.values().filter(works).count() >= 2
     }
 
-    /// Whether this entry is a seed, which other entries dial before they know any member.
+    /// Returns whether this entry is a seed, which other entries dial before they know any member.
     pub(crate) fn is_seed(&self) -> bool {
         self.process.seeds().contains(&self.own.peers)
     }
@@ -247,15 +249,16 @@
         if peers.is_empty() {
             return Peers::None;
         }
-        let informed = peers.values().any(|peer| peer.beat.as_ref().is_some_and(&has));
+        let informed = peers.values().any(|peer| peer.heartbeat.as_ref().is_some_and(&has));
         if informed { Peers::Informed } else { Peers::Uninformed }
     }
 
-    /// Whether neither this entry nor any linked entry watches the targets in the registry.
+    /// Returns whether neither this entry nor any linked entry watches the targets in the registry.
     pub(crate) fn are_targets_unwatched(&self) -> bool {
         let peers = self.peers.lock();
-        let watched =
-            peers.values().any(|peer| peer.beat.as_ref().is_some_and(|beat| beat.watching));
+        let watched = peers
+            .values()
+            .any(|peer| peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.watching));
         !watched && !self.process.is_watching()
     }
 
@@ -327,7 +330,8 @@
     /// follow.
     fn followers(&self) -> Vec<id::Host> {
         let peers = self.peers.lock();
-        let follows = |peer: &&Peer| peer.beat.as_ref().is_some_and(|beat| beat.follows);
+        let follows =
+            |peer: &&Peer| peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.follows);
         peers.values().filter(follows).map(|peer| peer.member.host.clone()).collect()
     }
 
@@ -370,7 +374,7 @@
         }
         // The heartbeats that this entry receives itself override what others announce.
         for peer in peers.values() {
-            let ready = peer.beat.as_ref().is_some_and(|beat| beat.ready);
+            let ready = peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.ready);
             let presence = Presence { member: peer.member.clone(), ready };
             alive.insert(peer.member.host.clone(), presence);
         }
@@ -411,7 +415,7 @@
         let host = member.host.clone();
         let peer = Peer {
             member,
-            beat: None,
+            heartbeat: None,
             text_lag: Lag::default(),
             targets_lag: Lag::default(),
             announced: Subscriber::default(),
@@ -420,7 +424,7 @@
         self.peers.lock().insert(host.clone(), peer);
         self.stale.notify_one();
         self.send_alive(&host);
-        self.send_first_beat(&host);
+        self.send_first_heartbeat(&host);
         self.send_poison(&host);
         self.send_limits(&host);
         self.changed.notify_waiters();
@@ -443,7 +447,7 @@
             Frame::Hello(_) => {}
             Frame::Presence(update) => self.apply_alive(from, update),
             Frame::PresenceRequest => self.send_alive(from),
-            Frame::Heartbeat(beat) => self.handle_beat(from, beat),
+            Frame::Heartbeat(heartbeat) => self.handle_heartbeat(from, heartbeat),
             Frame::Text(message) => self.handle_text_message(from, message),
             Frame::TargetsRequest => self.send_targets(from),
             Frame::Poison(records) => self.apply_poison(from, records),
@@ -528,7 +532,7 @@
         let peers = self.peers.lock();
         let presence = |peer: &Peer| Presence {
             member: peer.member.clone(),
-            ready: peer.beat.as_ref().is_some_and(|beat| beat.ready),
+            ready: peer.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.ready),
         };
         let mut linked: Vec<Presence> = peers.values().map(presence).collect();
         drop(peers);
--- a/crates/gateway/src/process/fleet/owner.rs
+++ b/crates/gateway/src/process/fleet/owner.rs
@@ -17,7 +17,7 @@
 use crate::process::fleet::Fleet;
 use crate::process::state::millis;
 
-/// The delay before a caller should retry if the owner did not answer.
+/// The delay before a caller should retry if the owner did not reply.
 const UNANSWERED_RETRY: Duration = Duration::from_secs(1);
 
 /// The maximum number of permit requests that wait for a reply; beyond it the oldest is dropped.
@@ -28,7 +28,7 @@
 enum Waiter {
     /// A request of this entry.
     Local(oneshot::Sender<Option<Duration>>),
-    /// A leaf whose permit request was forwarded, and the number of the request at the leaf.
+    /// A leaf whose permit request was forwarded, and the number of that request at the leaf.
     Forwarded(id::Host, u64),
 }
 
--- a/crates/gateway/src/process/service_gate.rs
+++ b/crates/gateway/src/process/service_gate.rs
@@ -213,7 +213,7 @@
         self.state.lock().gate.suspend(self.clock.now(), target, wait, why);
     }
 
-    /// Whether the targets have room for the answers of targets that leave; see
+    /// Returns whether the targets have room for the answers of targets that leave; see
     /// [`Gate::has_spare_capacity`].
     pub fn has_spare_capacity(&self) -> bool {
         self.state.lock().gate.has_spare_capacity()
@@ -277,9 +277,9 @@
         self.request
     }
 
-    /// Returns the state of the target when it was chosen; see [`Gate::grounds`].
-    pub fn grounds(&self) -> Option<Placement> {
-        self.gate.state.lock().gate.grounds(self.request)
+    /// Returns the state of the target when it was chosen; see [`Gate::placement`].
+    pub fn placement(&self) -> Option<Placement> {
+        self.gate.state.lock().gate.placement(self.request)
     }
 
     /// Returns the targets to copy or migrate the answer's memory to, best first; see
--- a/crates/gateway/src/process/state/mod.rs
+++ b/crates/gateway/src/process/state/mod.rs
@@ -64,7 +64,7 @@
     bounds: RwLock<Bounds>,
     seeds: RwLock<Vec<std::net::SocketAddr>>,
     table: RwLock<Option<Arc<Table>>>,
-    lanes: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
+    gates: RwLock<HashMap<id::Service, Arc<ServiceGate>>>,
     /// The active entries, which stagger their requests to an engine that has joined.
     order: Mutex<Order>,
     leases: Mutex<Leases>,
@@ -109,7 +109,7 @@
             bounds: RwLock::new(settings.bounds),
             seeds: RwLock::new(settings.seeds.clone()),
             table: RwLock::default(),
-            lanes: RwLock::default(),
+            gates: RwLock::default(),
             order: Mutex::default(),
             leases: Mutex::default(),
             cordons: Mutex::default(),
@@ -152,12 +152,12 @@
         self.seeds.read().clone()
     }
 
-    /// The configuration text in force.
+    /// Returns the configuration text in force.
     pub(crate) fn table(&self) -> Option<Arc<Table>> {
         self.table.read().clone()
     }
 
-    /// The revision of the text in force; 0 before the first text.
+    /// Returns the revision of the text in force; 0 before the first text.
     pub(crate) fn revision(&self) -> u64 {
         self.table.read().as_ref().map_or(0, |table| table.text().revision)
     }
@@ -178,8 +178,8 @@
         let new = Arc::new(Table::new(text));
         *table = Some(Arc::clone(&new));
         drop(table);
-        self.open_lanes(&new);
-        self.refresh_lanes();
+        self.open_gates(&new);
+        self.refresh_gates();
         ::log::info!(
             revision = revision, before = before, source = source,
             routes = new.text().routes.len(); "text in force"
@@ -187,18 +187,18 @@
         true
     }
 
-    fn open_lanes(&self, table: &Table) {
+    fn open_gates(&self, table: &Table) {
         let order = self.order.lock().clone();
-        let mut lanes = self.lanes.write();
+        let mut gates = self.gates.write();
         for service in &table.text().services {
-            let lane = lanes.entry(service.name.clone());
-            lane.or_insert_with(|| ServiceGate::with_settings(self.clock, self.gate_settings()))
+            let gate = gates.entry(service.name.clone());
+            gate.or_insert_with(|| ServiceGate::with_settings(self.clock, self.gate_settings()))
                 .set_order(order.clone());
         }
     }
 
     /// Sets the active entries among which requests to a joined engine are staggered, and passes
-    /// them to the lanes.
+    /// them to the gates.
     pub(crate) fn set_order(&self, order: Order) {
         let mut known = self.order.lock();
         if *known == order {
@@ -206,7 +206,7 @@
         }
         known.clone_from(&order);
         drop(known);
-        self.lanes.read().values().for_each(|lane| lane.set_order(order.clone()));
+        self.gates.read().values().for_each(|gate| gate.set_order(order.clone()));
     }
 
     /// Sets the number of active entries, by which the limit on retries is divided. The divisor is
@@ -214,7 +214,7 @@
     pub(crate) fn set_active_entries(&self, count: usize) {
         if self.max_active_entries.fetch_max(count, Ordering::AcqRel) < count {
             let limits = self.retry_limits();
-            self.lanes.read().values().for_each(|lane| lane.set_retries(limits));
+            self.gates.read().values().for_each(|gate| gate.set_retries(limits));
         }
     }
 
@@ -243,8 +243,8 @@
         }
     }
 
-    pub(crate) fn lane(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
-        self.lanes.read().get(service).cloned()
+    pub(crate) fn gate(&self, service: &id::Service) -> Option<Arc<ServiceGate>> {
+        self.gates.read().get(service).cloned()
     }
 
     /// Requests an early heartbeat, so that other entries learn of a change without waiting for the
@@ -264,8 +264,8 @@
         self.refusals.lock().record(now, fingerprint, now - age);
     }
 
-    /// When a request that is submitted again after a refusal was submitted first; `None` where no
-    /// refusal is known.
+    /// Returns when a request that is submitted again after a refusal was submitted first; `None`
+    /// where no refusal is known.
     pub(crate) fn first_submitted(&self, fingerprint: Fingerprint) -> Option<Time> {
         self.refusals.lock().since(self.clock.now(), fingerprint)
     }
@@ -299,7 +299,8 @@
         era > before
     }
 
-    /// The highest registry era known, which is the number of its restores from an older copy.
+    /// Returns the highest registry era known, which is the number of its restores from an older
+    /// copy.
     pub(crate) fn era(&self) -> u64 {
         self.era.load(Ordering::Acquire)
     }
@@ -328,20 +329,20 @@
         self.leaving_since.get().is_some()
     }
 
-    /// How long the process has been leaving and how long it may still run; `None` where it does
-    /// not leave.
+    /// Returns how long the process has been leaving and how long it may still run; `None` where it
+    /// does not leave.
     pub(crate) fn leave_times(&self) -> Option<(Duration, Duration)> {
         let since = self.clock.now().since(*self.leaving_since.get()?);
         Some((since, self.bounds().grace().saturating_sub(since)))
     }
 
-    /// Whether this entry is ready for callers: it has all state that decisions need and is not
-    /// leaving.
+    /// Returns whether this entry is ready for callers: it has all state that decisions need and is
+    /// not leaving.
     pub(crate) fn is_ready(&self) -> bool {
         self.has_synced() && !self.is_leaving()
     }
 
-    /// Whether a text, a list of targets and the cordons are known.
+    /// Returns whether a text, a list of targets and the cordons are known.
     fn has_synced(&self) -> bool {
         self.revision() > 0 && self.has_target_list() && self.knows_cordons()
     }
@@ -362,7 +363,7 @@
         let _ = timeout(INITIAL_SYNC_TIMEOUT, synced).await;
     }
 
-    /// Whether no request is open and none has arrived for [`IDLE_AFTER`].
+    /// Returns whether no request is open and none has arrived for [`IDLE_AFTER`].
     pub(crate) fn is_idle(&self) -> bool {
         self.open_requests() == 0
             && self.clock.now().since(*self.latest_request.lock()) >= IDLE_AFTER
@@ -392,7 +393,7 @@
     }
 }
 
-/// Whole milliseconds for log lines and messages; saturates at `u64::MAX`.
+/// Returns whole milliseconds for log lines and messages; saturates at `u64::MAX`.
 pub(crate) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -51,10 +51,9 @@
 ///
 /// With different urgencies a full engine preempts a running answer to begin a more urgent one, and
 /// recomputes its prompt later: its caller sees a pause of a second in the middle of the answer,
-/// and the work is lost. On two deployments under heavy load, equal urgencies reduce preemptions
-/// from 140 a day on one of them to between 57 and 106 on both, and change the benchmark score from
-/// 0.508 to 0.534 and from 0.413 to 0.399. With long answers ahead of short ones there are up to
-/// 229.
+/// and the work is lost. In two fleets under heavy load, equal urgencies lower the preemptions from
+/// 140 a day in one of them to between 57 and 106 in both; callers of one fleet gain more than
+/// those of the other lose. With long answers ahead of short ones there are up to 229.
 pub(crate) const URGENCY: u8 = 5;
 
 /// State of the process that a worker thread uses to serve requests.
@@ -210,7 +209,7 @@
     };
     let draw = xxhash_rust::xxh3::xxh3_64(facts.request.as_bytes());
     let service = route.service(draw).and_then(|name| table.service(name)).cloned();
-    let gate = service.as_ref().and_then(|service| worker.process.lane(&service.name));
+    let gate = service.as_ref().and_then(|service| worker.process.gate(&service.name));
     let (Some(service), Some(gate)) = (service, gate) else {
         return Err(refuse::no_target(&facts.request));
     };
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -115,7 +115,7 @@
     /// Logs why the gate chose a target, so that a late start can be explained.
     fn log_placement(&self, pass: &Pass) {
         let (context, process) = (&self.context, &self.worker.process);
-        let Some(placement) = pass.grounds() else { return };
+        let Some(placement) = pass.placement() else { return };
         log::info!(
             request = context.facts.request.as_str(), target:% = pass.target(),
             waited_ms = millis(process.clock.now().since(context.first_sent_at)),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Whether an attempt may have run, in which case a refusal must not say that none has.
+    /// Returns whether an attempt may have run, in which case a refusal must not say that none has.
     fn may_have_run(&self) -> bool {
         self.in_flight || self.outcome_unknown
     }
--- a/crates/gateway/src/version/watcher.rs
+++ b/crates/gateway/src/version/watcher.rs
@@ -45,8 +45,8 @@
 
 /// How long a watch of targets waits. A registry that hangs is noticed after this plus
 /// [`WATCH_SLACK`], which is less than the time engines run on after a drain notice; from then on
-/// engines are polled directly. Without changes it costs some 20 calls a day on the two smaller
-/// deployments.
+/// engines are polled directly. Without changes it costs some 20 calls a day in small
+/// fleets.
 const TARGETS_WATCH_WAIT: Duration = Duration::from_secs(1);
 
 /// Time after the wait of a watch within which its reply must begin.
@@ -182,8 +182,10 @@
 
     fn peers(&self) -> Peers {
         match self.resource {
-            Resource::Text => self.fleet.peer_state(|beat| beat.text > 0 && beat.cordons.is_some()),
-            Resource::Targets => self.fleet.peer_state(|beat| beat.targets.is_some()),
+            Resource::Text => {
+                self.fleet.peer_state(|heartbeat| heartbeat.text > 0 && heartbeat.cordons.is_some())
+            }
+            Resource::Targets => self.fleet.peer_state(|heartbeat| heartbeat.targets.is_some()),
         }
     }
 
@@ -237,7 +239,7 @@
         }
     }
 
-    /// The least time until the next watch of targets.
+    /// Returns the least time until the next watch of targets.
     fn min_watch_interval(&self) -> Duration {
         if self.fleet.is_alone() && self.process.is_idle() {
             return MIN_IDLE_WATCH_INTERVAL;
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Whether other entries watch and would send this entry what it misses.
+    /// Returns whether other entries watch and would send this entry what it misses.
     ///
     /// Each new text ends the watch of every entry that has one. With 80 entries, of which 18 are
     /// active, most calls of a day were watches of texts by standby entries.
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Item {
     /// The request.
-    pub ask: Request,
+    pub request: Request,
     /// Its predicted work in tokens.
     pub work: f64,
 }
@@ -94,22 +94,22 @@
         self.weights.get(workspace).copied().unwrap_or(1.0).max(0.01)
     }
 
-    /// Number of queued requests.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.locations.len()
     }
 
-    /// Whether no request is queued.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.locations.is_empty()
     }
 
-    /// Whether no request of this class or a higher one is queued.
+    /// Returns whether no request of this class or a higher one is queued.
     pub fn is_empty_through(&self, class: Class) -> bool {
         self.classes.range(..=class).all(|(_, flows)| flows.is_empty())
     }
 
-    /// Whether no request of this workspace is queued in this class.
+    /// Returns whether no request of this workspace is queued in this class.
     pub fn is_first(&self, class: Class, workspace: &id::Workspace) -> bool {
         self.classes.get(&class).is_none_or(|flows| !flows.contains_key(workspace))
     }
@@ -117,12 +117,13 @@
     /// Adds a request, with `front` before all others of its workspace (a retry of an accepted
     /// request).
     pub fn push(&mut self, now: Time, item: Item, front: bool) {
-        let workspace = item.ask.workspace.clone();
-        let location = Location { class: item.ask.class, workspace: workspace.clone(), since: now };
-        self.locations.insert(item.ask.id, location);
+        let workspace = item.request.workspace.clone();
+        let location =
+            Location { class: item.request.class, workspace: workspace.clone(), since: now };
+        self.locations.insert(item.request.id, location);
         // An idle workspace gains no credit for work that it did not ask for.
         let account = self.accounts.entry(workspace.clone()).or_default();
-        let flows = self.classes.entry(item.ask.class).or_default();
+        let flows = self.classes.entry(item.request.class).or_default();
         let waiting = flows.contains_key(&workspace);
         account.drain.advance(now, waiting);
         if !waiting {
@@ -142,9 +143,9 @@
         account.received = (account.received + work / weight).max(0.0);
     }
 
-    /// The workspaces to serve next, in order, and their class; at most [`CANDIDATES`], so that a
-    /// workspace whose request fits on no target now does not block another whose request would
-    /// fit.
+    /// Returns the workspaces to serve next, in order, and their class; at most [`CANDIDATES`], so
+    /// that a workspace whose request fits on no target now does not block another whose request
+    /// would fit.
     pub fn next_workspaces(&self) -> Vec<(Class, id::Workspace)> {
         let lowest = self.turns % LOWEST_CLASS_INTERVAL == LOWEST_CLASS_INTERVAL - 1;
         let mut waiting = self.classes.iter().filter(|(_, flows)| !flows.is_empty());
@@ -177,11 +178,11 @@
         if self.fair {
             return self.received(a).total_cmp(&self.received(b));
         }
-        let deadline = |w| flows.get(w).and_then(|f| f.items.front()).map(|i| i.ask.deadline);
+        let deadline = |w| flows.get(w).and_then(|f| f.items.front()).map(|i| i.request.deadline);
         deadline(a).cmp(&deadline(b))
     }
 
-    /// The first request of a workspace's queue.
+    /// Returns the first request of a workspace's queue.
     pub fn head(&self, class: Class, workspace: &id::Workspace) -> Option<&Item> {
         self.classes.get(&class)?.get(workspace)?.items.front()
     }
@@ -204,7 +205,7 @@
         let flow = flows.get_mut(workspace)?;
         let item = flow.items.remove(at)?;
         flow.work = (flow.work - item.work).max(0.0);
-        self.locations.remove(&item.ask.id);
+        self.locations.remove(&item.request.id);
         if flow.items.is_empty() {
             flows.remove(workspace);
             self.evict_account(workspace);
@@ -223,7 +224,7 @@
     pub fn remove(&mut self, request: id::Request) -> Option<Item> {
         let Location { class, workspace, .. } = self.locations.get(&request)?.clone();
         let flow = self.classes.get(&class)?.get(&workspace)?;
-        let at = flow.items.iter().position(|item| item.ask.id == request)?;
+        let at = flow.items.iter().position(|item| item.request.id == request)?;
         self.take(class, &workspace, at)
     }
 
@@ -242,13 +243,13 @@
                 continue;
             }
             let items = flows.values().flat_map(|flow| &flow.items);
-            let passed = items.filter(|item| item.ask.objective < now + lead);
-            late.extend(passed.map(|item| item.ask.id));
+            let passed = items.filter(|item| item.request.objective < now + lead);
+            late.extend(passed.map(|item| item.request.id));
         }
         for request in late {
             let since = self.locations.get(&request).map_or(now, |location| location.since);
             if let Some(mut item) = self.remove(request) {
-                item.ask.class = Class::Spare;
+                item.request.class = Class::Spare;
                 self.push(now, item, false);
                 self.locations.entry(request).and_modify(|location| location.since = since);
             }
@@ -261,12 +262,15 @@
     pub fn shed(&mut self, now: Time, lead: Duration, max_wait: Duration) -> Vec<Item> {
         let spare = self.classes.get(&Class::Spare).into_iter().flat_map(BTreeMap::values);
         let expired = |item: &&Item| {
-            let location = self.locations.get(&item.ask.id);
-            let late_on_arrival = location.is_some_and(|p| item.ask.objective < p.since + lead);
-            !late_on_arrival && item.ask.objective + max_wait < now + lead
+            let location = self.locations.get(&item.request.id);
+            let late_on_arrival = location.is_some_and(|p| item.request.objective < p.since + lead);
+            !late_on_arrival && item.request.objective + max_wait < now + lead
         };
-        let expired: Vec<id::Request> =
-            spare.flat_map(|flow| &flow.items).filter(expired).map(|item| item.ask.id).collect();
+        let expired: Vec<id::Request> = spare
+            .flat_map(|flow| &flow.items)
+            .filter(expired)
+            .map(|item| item.request.id)
+            .collect();
         expired.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
@@ -286,7 +290,9 @@
     }
 
     fn overdue(&self, now: Time) -> Option<(Class, id::Workspace)> {
-        self.heads().find(|(_, _, item)| item.ask.deadline <= now).map(|(c, w, _)| (c, w.clone()))
+        self.heads()
+            .find(|(_, _, item)| item.request.deadline <= now)
+            .map(|(c, w, _)| (c, w.clone()))
     }
 
     fn heads(&self) -> impl Iterator<Item = (Class, &id::Workspace, &Item)> {
@@ -297,13 +303,13 @@
         })
     }
 
-    /// The earliest deadline among the first requests of all workspaces.
+    /// Returns the earliest deadline among the first requests of all workspaces.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.heads().map(|(_, _, item)| item.ask.deadline).min()
+        self.heads().map(|(_, _, item)| item.request.deadline).min()
     }
 
-    /// Work that is served before a further request of this workspace with this much work: all of
-    /// higher classes, and of its own class what fair queueing serves first.
+    /// Returns the work that is served before a further request of this workspace with this much
+    /// work: all of higher classes, and of its own class what fair queueing serves first.
     pub fn work_ahead(&self, class: Class, workspace: &id::Workspace, work: f64) -> f64 {
         let higher: f64 =
             self.classes.range(..class).flat_map(|(_, flows)| flows.values()).map(|f| f.work).sum();
@@ -323,9 +329,9 @@
         higher + backlog.max((own + work) / self.weight_share(class, workspace) - work)
     }
 
-    /// How long the queue of one workspace takes to drain at its recent rate; `None` while that is
-    /// unknown. It can be slower than fair turns suggest, if its requests fit on fewer targets than
-    /// those of others.
+    /// Returns how long the queue of one workspace takes to drain at its recent rate; `None` while
+    /// that is unknown. It can be slower than fair turns suggest, if its requests fit on fewer
+    /// targets than those of others.
     pub fn own_wait(
         &mut self,
         now: Time,
@@ -339,8 +345,8 @@
         account.drain.wait(flow.work + work)
     }
 
-    /// The share of this workspace in the weights of all workspaces that wait in a class, itself
-    /// included.
+    /// Returns the share of this workspace in the weights of all workspaces that wait in a class,
+    /// itself included.
     pub fn weight_share(&self, class: Class, workspace: &id::Workspace) -> f64 {
         let own = self.weight(workspace);
         let others = self.classes.get(&class).into_iter().flat_map(|flows| flows.keys());
