--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -86,7 +86,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct State {
-    witnesses: Observations,
+    observations: Observations,
     /// Moving average in seconds.
     latency: f64,
     samples: u32,
@@ -100,7 +100,7 @@
 
 impl State {
     fn is_failing(&self, now: Time) -> bool {
-        self.failures >= CONSECUTIVE_FAILURES || self.witnesses.is_failing(now)
+        self.failures >= CONSECUTIVE_FAILURES || self.observations.is_failing(now)
     }
 
     fn is_ejected(&self, now: Time) -> bool {
@@ -185,7 +185,7 @@
             return;
         }
         state.record(sample);
-        if sample == Sample::Failed && state.witnesses.record_own(now, Outcome::Failed) {
+        if sample == Sample::Failed && state.observations.record_own(now, Outcome::Failed) {
             self.updates.push((target.clone(), Outcome::Failed));
         }
         self.evaluate(now, target);
@@ -194,7 +194,7 @@
     /// Records that a target has begun to answer a request.
     pub fn record_answer(&mut self, now: Time, target: &id::Target) {
         let Some(state) = self.targets.get_mut(target) else { return };
-        if state.witnesses.record_own(now, Outcome::Answered) {
+        if state.observations.record_own(now, Outcome::Answered) {
             self.updates.push((target.clone(), Outcome::Answered));
         }
     }
@@ -205,13 +205,13 @@
         if state.is_ejected(now) {
             return;
         }
-        state.witnesses.record_peer(now, observer, outcome);
+        state.observations.record_peer(now, observer, outcome);
         self.evaluate(now, target);
     }
 
     /// Ejects targets that have become due by earlier observations; called a few times a second.
     pub fn poll(&mut self, now: Time) {
-        let observed = |state: &State| !state.witnesses.is_empty() && !state.is_ejected(now);
+        let observed = |state: &State| !state.observations.is_empty() && !state.is_ejected(now);
         let observed = self.targets.iter().filter(|(_, state)| observed(state));
         let targets: Vec<id::Target> = observed.map(|(target, _)| target.clone()).collect();
         targets.iter().for_each(|target| self.evaluate(now, target));
