--- a/crates/gateway/src/version/engine_poll.rs
+++ b/crates/gateway/src/version/engine_poll.rs
@@ -48,9 +48,9 @@
     let used = process.own_usage().into_iter().filter(|usage| usage.streams > 0);
     let ready = used.filter(|usage| process.is_target_ready(&usage.target));
     let known = ready.filter_map(|usage| process.target(&usage.target));
-    let has_refuge =
+    let has_spare_capacity =
         |t: &Target| process.gate(&t.service).is_some_and(|gate| gate.has_spare_capacity());
-    for target in known.filter(has_refuge) {
+    for target in known.filter(has_spare_capacity) {
         let (process, fleet) = (Arc::clone(process), Arc::clone(fleet));
         ntex::rt::spawn(async move { poll::<P>(&process, &fleet, &target).await }).detach();
     }
