--- a/crates/daemon/src/process/member.rs
+++ b/crates/daemon/src/process/member.rs
@@ -223,8 +223,8 @@
 
     fn receive_member(&mut self, now: Time, from: &id::Host, message: Message) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if let Message::Heartbeat(beat) = &message {
-            let stamp = beat.stamp;
+        if let Message::Heartbeat(heartbeat) = &message {
+            let stamp = heartbeat.stamp;
             if stamp != Stamp::default() {
                 self.readiness.set_peers(Contact::Answered);
             }
--- a/crates/daemon/src/request/plain/at_most_once.rs
+++ b/crates/daemon/src/request/plain/at_most_once.rs
@@ -107,8 +107,8 @@
         Claim::Ran(CallOutcome::Replied { status, reply: None }) => {
             return refuse::respond(&refuse::already_ran(status));
         }
-        Claim::Ran(CallOutcome::Replied { status, reply: Some(kept) }) => {
-            return replay(status, kept);
+        Claim::Ran(CallOutcome::Replied { status, reply: Some(stored) }) => {
+            return replay(status, stored);
         }
         Claim::Mismatch => return refuse::respond(&refuse::mismatched_ticket()),
         Claim::Expired => return refuse::respond(&refuse::expired_ticket()),
@@ -137,13 +137,13 @@
     hasher.finish()
 }
 
-fn replay(status: u16, kept: StoredReply) -> HttpResponse {
+fn replay(status: u16, stored: StoredReply) -> HttpResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
     let mut response = HttpResponse::build(status);
-    if let Some(content_type) = kept.content_type {
+    if let Some(content_type) = stored.content_type {
         response.content_type(content_type);
     }
-    response.header(REPLAYED_HEADER, "true").body(kept.body)
+    response.header(REPLAYED_HEADER, "true").body(stored.body)
 }
 
 /// A reply that was read completely.
@@ -161,7 +161,7 @@
         Some(Self { status, headers, body })
     }
 
-    fn kept(&self) -> StoredReply {
+    fn to_stored(&self) -> StoredReply {
         let content_type = self.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
         StoredReply { content_type: content_type.map(str::to_owned), body: self.body.clone() }
     }
@@ -190,7 +190,7 @@
         match self.send().await {
             Ok(reply) => {
                 let status = reply.status.as_u16();
-                let outcome = CallOutcome::Replied { status, reply: Some(reply.kept()) };
+                let outcome = CallOutcome::Replied { status, reply: Some(reply.to_stored()) };
                 tickets.complete(&self.ticket, outcome, reply.body.len());
                 Ok(reply)
             }
